--- a/endpoint/poller.go
+++ b/endpoint/poller.go
@@ -96,7 +96,7 @@
 			t.Refused(now)
 		}
 	}
-	p.node.Observe(t.Word())
+	p.node.Observe(t.Health())
 }
 
 // RouterIDs returns the ids of the zone's live routers.
--- a/health/health.go
+++ b/health/health.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Word returns the group's health as observed so far.
-func (t *Tracker) Word() redwinghall.GroupHealth {
+// Health returns the group's health as observed so far.
+func (t *Tracker) Health() redwinghall.GroupHealth {
 	health := redwinghall.GroupHealth{
 		Group: t.group.ID, Generation: t.group.Generation,
 		Broken: t.broken, Ready: true, LostAt: t.lost,
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -81,7 +81,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			tracker := health.NewTracker(pair())
 			tt.polls(tracker)
-			require.Equal(t, tt.whole, tracker.Word().Whole(pair(), tt.now, bound))
+			require.Equal(t, tt.whole, tracker.Health().Whole(pair(), tt.now, bound))
 		})
 	}
 }
@@ -95,13 +95,13 @@
 	tracker := health.NewTracker(pair())
 	tracker.Observe(0, report("s"), start)
 	tracker.Observe(1, report("t"), start)
-	book.Merge(tracker.Word())
-	late := tracker.Word()
+	book.Merge(tracker.Health())
+	late := tracker.Health()
 
 	now := start.Add(500 * time.Millisecond)
 	tracker.Observe(0, report("s"), now)
 	tracker.Refused(now)
-	require.True(t, book.Merge(tracker.Word()), "peers must hear at once")
+	require.True(t, book.Merge(tracker.Health()), "peers must hear at once")
 	book.Merge(late)
 
 	word, ok := book.Get("g")
