--- a/endpoint/poller.go
+++ b/endpoint/poller.go
@@ -93,7 +93,7 @@
 		case err == nil:
 			t.Observe(i, reports[i], now)
 		case redwinghall.KindOf[Kind](err) == Refused:
-			t.Refused(now)
+			t.ObserveRefusal(now)
 		}
 	}
 	p.node.Observe(t.Health())
--- a/health/health.go
+++ b/health/health.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// Refused takes note that a member refused the connection of a poll that
+// ObserveRefusal takes note that a member refused the connection of a poll that
 // began at askedAt.
-func (t *Tracker) Refused(askedAt time.Time) {
+func (t *Tracker) ObserveRefusal(askedAt time.Time) {
 	if askedAt.After(t.lost) {
 		t.lost = askedAt
 	}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -61,12 +61,12 @@
 			tr.Observe(0, report("s"), start)
 			tr.Observe(1, report("t"), start)
 			tr.Observe(0, report("s"), at(time.Second))
-			tr.Refused(at(time.Second))
+			tr.ObserveRefusal(at(time.Second))
 		}, at(time.Second), false},
 		{"one refused connections and answers again", func(tr *health.Tracker) {
 			tr.Observe(0, report("s"), start)
 			tr.Observe(1, report("t"), start)
-			tr.Refused(at(time.Second))
+			tr.ObserveRefusal(at(time.Second))
 			tr.Observe(0, report("s"), at(1500*time.Millisecond))
 			tr.Observe(1, report("t"), at(1500*time.Millisecond))
 		}, at(1500 * time.Millisecond), true},
@@ -100,7 +100,7 @@
 
 	now := start.Add(500 * time.Millisecond)
 	tracker.Observe(0, report("s"), now)
-	tracker.Refused(now)
+	tracker.ObserveRefusal(now)
 	require.True(t, book.Merge(tracker.Health()), "peers must hear at once")
 	book.Merge(late)
 
