--- a/health/health_test.go
+++ b/health/health_test.go
@@ -26,7 +26,7 @@
 	return redwinghall.Report{StartID: startID, Group: "g", Generation: 3, Ready: true}
 }
 
-func TestTrackerWord(t *testing.T) {
+func TestTrackerHealth(t *testing.T) {
 	at := start.Add
 	tests := []struct {
 		name  string
@@ -86,43 +86,43 @@
 	}
 }
 
-// A driver's question goes to a replica whose second VM has just died.
-// Order: both members are seen; one process dies; the next poll is refused;
-// an older word from another router arrives after it.
-// Cause: a group counted as whole until its last sighting grew old.
+// Guards against requests being sent to a replica whose second VM has just died.
+// Both members are seen, one process dies, the next poll is refused, and then an
+// older health record arrives from another router. The group used to count as
+// whole until its last observation expired.
 func TestRefusedMemberTakesGroupOutAtOnce(t *testing.T) {
 	book := peer.NewHealthBook()
 	tracker := health.NewTracker(pair())
 	tracker.Observe(0, report("s"), start)
 	tracker.Observe(1, report("t"), start)
 	book.Merge(tracker.Health())
-	late := tracker.Health()
+	stale := tracker.Health()
 
 	now := start.Add(500 * time.Millisecond)
 	tracker.Observe(0, report("s"), now)
 	tracker.ObserveRefusal(now)
 	require.True(t, book.Merge(tracker.Health()), "peers must hear at once")
-	book.Merge(late)
+	book.Merge(stale)
 
-	word, ok := book.Get("g")
+	merged, ok := book.Get("g")
 	require.True(t, ok)
-	require.False(t, word.Whole(pair(), now, bound))
+	require.False(t, merged.Whole(pair(), now, bound))
 }
 
-// A haulier is sent to a replica that misses a VM, after it was known broken.
-// Order: a member restarts and the group is found broken; then a word that
-// was on its way since before the restart arrives from a peer.
-// Cause: the later arrival replaced the newer knowledge.
+// Guards against requests being sent to a replica that is known to be broken. A
+// member restarts and the group is found broken; then a health record sent
+// before the restart arrives from a peer. The record that arrived last used to
+// replace the newer one.
 func TestBrokenIsFinalForItsGeneration(t *testing.T) {
 	book := peer.NewHealthBook()
 	broken := redwinghall.GroupHealth{Group: "g", Generation: 3, Broken: true, Ready: true, SeenAt: start}
 	require.True(t, book.Merge(broken))
 	require.False(t, book.Merge(broken), "known already")
 	book.Merge(redwinghall.GroupHealth{Group: "g", Generation: 3, Ready: true, SeenAt: start.Add(time.Second)})
-	word, _ := book.Get("g")
-	require.False(t, word.Whole(pair(), start.Add(time.Second), bound))
+	merged, _ := book.Get("g")
+	require.False(t, merged.Whole(pair(), start.Add(time.Second), bound))
 
 	book.Merge(redwinghall.GroupHealth{Group: "g", Generation: 4, Ready: true, SeenAt: start.Add(2 * time.Second)})
-	word, _ = book.Get("g")
-	require.True(t, word.Whole(pair().WithGeneration(4), start.Add(2*time.Second), bound))
+	merged, _ = book.Get("g")
+	require.True(t, merged.Whole(pair().WithGeneration(4), start.Add(2*time.Second), bound))
 }
