--- a/endpoint/versions.go
+++ b/endpoint/versions.go
@@ -112,9 +112,9 @@
 	return n
 }
 
-func (m *Manager) wants(manifest redwinghall.Manifest, room int) []place.Want {
+func (m *Manager) wants(manifest redwinghall.Manifest, room int) []place.Demand {
 	byModel := m.byModel()
-	var out []place.Want
+	var out []place.Demand
 	for _, model := range manifest.Models {
 		have := 0
 		domains := map[string]int{}
@@ -126,7 +126,7 @@
 		}
 		missing := model.Replicas[m.config.AvailabilityZone] - have
 		if missing > 0 {
-			out = append(out, place.Want{Model: model, Count: min(missing, room), PerDomain: domains})
+			out = append(out, place.Demand{Model: model, Count: min(missing, room), PerDomain: domains})
 		}
 	}
 	return out
--- a/measure/place.go
+++ b/measure/place.go
@@ -15,7 +15,7 @@
 type firstFit struct{}
 
 // Place implements place.Placer.
-func (firstFit) Place(free redwinghall.VMs, wants []place.Want) []place.Placement {
+func (firstFit) Place(free redwinghall.VMs, wants []place.Demand) []place.Placement {
 	domains := map[string]redwinghall.VMs{}
 	var names []string
 	for _, vm := range free {
@@ -55,11 +55,11 @@
 }
 
 // wantsOf asks for groups of 4, 3 and 2 VMs that would fill the cluster.
-func wantsOf(vms int) []place.Want {
+func wantsOf(vms int) []place.Demand {
 	model := func(id string, size int) redwinghall.Model {
 		return redwinghall.Model{ID: id, VMsPerReplica: size, AcceleratorsPerVM: 8}
 	}
-	return []place.Want{
+	return []place.Demand{
 		{Model: model("two", 2), Count: vms / 8},
 		{Model: model("three", 3), Count: vms / 12},
 		{Model: model("four", 4), Count: vms / 8},
@@ -72,7 +72,7 @@
 		vms := cluster(rand.New(rand.NewPCG(1, uint64(n))), n)
 		wants := wantsOf(n)
 		whole = append(whole, Point{float64(n), fastest(func() { place.Packed{}.Place(vms, wants) })})
-		single := []place.Want{{Model: wants[2].Model, Count: 1}}
+		single := []place.Demand{{Model: wants[2].Model, Count: 1}}
 		one = append(one, Point{float64(n), fastest(func() { place.Packed{}.Place(vms, single) })})
 	}
 	out := []Series{
--- a/place/place.go
+++ b/place/place.go
@@ -7,8 +7,8 @@
 	"redwinghall"
 )
 
-// Want is how many more groups of a model a zone needs.
-type Want struct {
+// Demand is how many more groups of a model a zone needs.
+type Demand struct {
 	Model redwinghall.Model
 	Count int
 	// PerDomain counts the model's groups that each fabric domain has now.
@@ -24,7 +24,7 @@
 
 // Placer chooses VMs for the wanted groups from the free ones.
 type Placer interface {
-	Place(free redwinghall.VMs, wants []Want) []Placement
+	Place(free redwinghall.VMs, wants []Demand) []Placement
 }
 
 // Packed is the placer of the product: larger replicas first, each into the
@@ -38,10 +38,10 @@
 type Packed struct{}
 
 // Place implements Placer.
-func (Packed) Place(free redwinghall.VMs, wants []Want) []Placement {
+func (Packed) Place(free redwinghall.VMs, wants []Demand) []Placement {
 	domains := byDomain(free)
 	sizes := replicaSizes(wants)
-	order := append([]Want(nil), wants...)
+	order := append([]Demand(nil), wants...)
 	sort.SliceStable(order, func(i, j int) bool {
 		return order[i].Model.VMsPerReplica > order[j].Model.VMsPerReplica
 	})
@@ -73,7 +73,7 @@
 }
 
 // replicaSizes returns the sizes that any wanted model has, largest first.
-func replicaSizes(wants []Want) []int {
+func replicaSizes(wants []Demand) []int {
 	seen := map[int]bool{}
 	var sizes []int
 	for _, w := range wants {
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -30,14 +30,14 @@
 	tests := []struct {
 		name    string
 		free    redwinghall.VMs
-		wants   []place.Want
+		wants   []place.Demand
 		domains []string
 	}{
-		{"takes the domain that strands none", vms(5, 4), []place.Want{{Model: model(4), Count: 1}}, []string{"d1"}},
-		{"spreads replicas where that strands no more", vms(8, 8), []place.Want{{Model: model(4), Count: 2}}, []string{"d0", "d1"}},
-		{"no domain has enough", vms(3, 3), []place.Want{{Model: model(4), Count: 1}}, nil},
-		{"keeps away from where the model is", vms(4, 4), []place.Want{{Model: model(4), Count: 1, PerDomain: map[string]int{"d0": 1}}}, []string{"d1"}},
-		{"larger replicas first", vms(4), []place.Want{{Model: model(2), Count: 2}, {Model: model(4), Count: 1}}, []string{"d0"}},
+		{"takes the domain that strands none", vms(5, 4), []place.Demand{{Model: model(4), Count: 1}}, []string{"d1"}},
+		{"spreads replicas where that strands no more", vms(8, 8), []place.Demand{{Model: model(4), Count: 2}}, []string{"d0", "d1"}},
+		{"no domain has enough", vms(3, 3), []place.Demand{{Model: model(4), Count: 1}}, nil},
+		{"keeps away from where the model is", vms(4, 4), []place.Demand{{Model: model(4), Count: 1, PerDomain: map[string]int{"d0": 1}}}, []string{"d1"}},
+		{"larger replicas first", vms(4), []place.Demand{{Model: model(2), Count: 2}, {Model: model(4), Count: 1}}, []string{"d0"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -55,7 +55,7 @@
 func TestPackedNeverSharesAVM(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		free := vms(rapid.SliceOfN(rapid.IntRange(0, 20), 1, 8).Draw(rt, "domains")...)
-		wants := []place.Want{
+		wants := []place.Demand{
 			{Model: model(rapid.IntRange(1, 6).Draw(rt, "size")), Count: rapid.IntRange(0, 9).Draw(rt, "count")},
 			{Model: model(4), Count: rapid.IntRange(0, 9).Draw(rt, "fours")},
 		}
