--- a/daemon/controller.go
+++ b/daemon/controller.go
@@ -51,7 +51,7 @@
 		Lease:     lease.Config{Self: s.ID, Duration: s.LeaseDuration.Std(), Margin: s.LeaseMargin.Std()},
 		LostAfter: s.LostAfter.Std(), SettleTime: s.SettleTime.Std(), DrainTimeout: s.DrainTimeout.Std(),
 		MaxLoading: s.MaxLoading, OrderTimeout: s.OrderTimeout.Std(),
-	}, table, endpoint.NewClient(s.OrderTimeout.Std()), table, place.Packed{}, node)
+	}, table, endpoint.NewClient(s.OrderTimeout.Std()), table, place.BestFit{}, node)
 	c := &Controller{
 		settings: s, Node: node, Manager: manager,
 		follower: tablehttp.NewFollower(table, node, s.HeadInterval.Std()),
--- a/measure/place.go
+++ b/measure/place.go
@@ -71,9 +71,9 @@
 	for _, n := range []int{80, 325, 650, 1300} {
 		vms := cluster(rand.New(rand.NewPCG(1, uint64(n))), n)
 		wants := wantsOf(n)
-		whole = append(whole, Point{float64(n), fastest(func() { place.Packed{}.Place(vms, wants) })})
+		whole = append(whole, Point{float64(n), fastest(func() { place.BestFit{}.Place(vms, wants) })})
 		single := []place.Demand{{Model: wants[2].Model, Count: 1}}
-		one = append(one, Point{float64(n), fastest(func() { place.Packed{}.Place(vms, single) })})
+		one = append(one, Point{float64(n), fastest(func() { place.BestFit{}.Place(vms, single) })})
 	}
 	out := []Series{
 		newSeries("all groups from nothing", "VMs", "milliseconds to place", whole),
@@ -82,7 +82,7 @@
 	for _, p := range []struct {
 		name   string
 		placer place.Placer
-	}{{"packed", place.Packed{}}, {"first fit", firstFit{}}} {
+	}{{"packed", place.BestFit{}}, {"first fit", firstFit{}}} {
 		stranded, missing := strandedBySize(p.placer)
 		out = append(out, newSeries(p.name, "VMs", "stranded VMs after seeded losses", stranded),
 			newSeries(p.name, "VMs", "groups that could not be formed", missing))
--- a/place/place.go
+++ b/place/place.go
@@ -27,7 +27,7 @@
 	Place(free redwinghall.VMs, wants []Demand) []Placement
 }
 
-// Packed is the placer of the product: larger replicas first, each into the
+// BestFit is the placer of the product: larger replicas first, each into the
 // domain that is left with the fewest stranded VMs, and among equal ones into
 // the domain that has the fewest replicas of the model.
 //
@@ -35,10 +35,10 @@
 // some losses many domains keep fewer free VMs than a replica needs, and those
 // accelerators idle. And when all replicas of a model share a domain, one dark
 // domain ends the service.
-type Packed struct{}
+type BestFit struct{}
 
 // Place implements Placer.
-func (Packed) Place(free redwinghall.VMs, wants []Demand) []Placement {
+func (BestFit) Place(free redwinghall.VMs, wants []Demand) []Placement {
 	domains := byDomain(free)
 	sizes := replicaSizes(wants)
 	order := append([]Demand(nil), wants...)
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -42,7 +42,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var got []string
-			for _, p := range (place.Packed{}).Place(tt.free, tt.wants) {
+			for _, p := range (place.BestFit{}).Place(tt.free, tt.wants) {
 				got = append(got, p.Domain)
 			}
 			require.Equal(t, tt.domains, got)
@@ -60,7 +60,7 @@
 			{Model: model(4), Count: rapid.IntRange(0, 9).Draw(rt, "fours")},
 		}
 		used := map[string]bool{}
-		placements := place.Packed{}.Place(free, wants)
+		placements := place.BestFit{}.Place(free, wants)
 		require.LessOrEqual(rt, len(placements), wants[0].Count+wants[1].Count)
 		for _, p := range placements {
 			require.Len(rt, p.VMs, p.Model.VMsPerReplica)
