--- a/daemon/router.go
+++ b/daemon/router.go
@@ -56,7 +56,7 @@
 	node.HealthBound = s.AliveBound.Std()
 	board := route.NewBoard(route.BoardConfig{
 		AvailabilityZone: s.AvailabilityZone, Router: s.ID, AliveBound: s.AliveBound.Std(),
-		Ramp: ramp.Owned{}, Picker: picker,
+		Ramp: ramp.SingleOwner{}, Picker: picker,
 	})
 	keeper := claim.NewKeeper(claim.Config{
 		Router: s.ID, WriteInterval: s.ClaimInterval.Std(),
--- a/measure/snapshot.go
+++ b/measure/snapshot.go
@@ -52,7 +52,7 @@
 func (w world) board(now time.Time) (*route.Board, *peer.Store) {
 	store := w.store()
 	b := route.NewBoard(route.BoardConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
-		Ramp: ramp.Owned{}, Picker: route.TwoChoices{}})
+		Ramp: ramp.SingleOwner{}, Picker: route.TwoChoices{}})
 	b.Rebuild(store)
 	book := peer.NewHealthBook()
 	for i := range w.groups {
--- a/ramp/ramp.go
+++ b/ramp/ramp.go
@@ -19,17 +19,17 @@
 	Share(in Input) int
 }
 
-// Owned is the ramp of the product.
+// SingleOwner is the ramp of the product.
 //
 // Guard: after a cold start an engine falls over under a load that it later
 // bears with ease. If each router had a small start limit of its own, N
 // routers together would send N times as much; callers would see the group
 // fall over again and again. While the group is cold only its owner sends,
 // and its limit rises with completed work, never with time.
-type Owned struct{}
+type SingleOwner struct{}
 
 // Share implements Ramp.
-func (Owned) Share(in Input) int {
+func (SingleOwner) Share(in Input) int {
 	g := in.Group
 	if int(in.Completed) < g.WarmAfter {
 		if !in.Owner {
--- a/ramp/ramp_test.go
+++ b/ramp/ramp_test.go
@@ -27,7 +27,7 @@
 		completed := uint64(rapid.IntRange(0, 200).Draw(rt, "completed"))
 		sum := 0
 		for i := range routers {
-			sum += ramp.Owned{}.Share(ramp.Input{Group: g, Completed: completed, Owner: i == 0, Routers: routers})
+			sum += ramp.SingleOwner{}.Share(ramp.Input{Group: g, Completed: completed, Owner: i == 0, Routers: routers})
 		}
 		bears := g.MaxInFlight
 		if int(completed) < g.WarmAfter {
@@ -55,7 +55,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got := ramp.Owned{}.Share(ramp.Input{Group: group, Completed: tt.completed, Owner: tt.owner, Routers: tt.routers})
+			got := ramp.SingleOwner{}.Share(ramp.Input{Group: group, Completed: tt.completed, Owner: tt.owner, Routers: tt.routers})
 			require.Equal(t, tt.want, got)
 		})
 	}
