--- a/endpoint/holder.go
+++ b/endpoint/holder.go
@@ -39,7 +39,7 @@
 			return nil
 		}
 		grants.Forget(at)
-		return grants.Ask(at, router, groups)
+		return grants.Acquire(at, router, groups)
 	}
 }
 
--- a/ramp/grants.go
+++ b/ramp/grants.go
@@ -35,8 +35,8 @@
 	return &Grants{quietUntil: now.Add(GrantTTL), held: map[string]grant{}}
 }
 
-// Ask returns which of the groups the router may feed for GrantTTL.
-func (g *Grants) Ask(now time.Time, router string, groups []string) []string {
+// Acquire returns which of the groups the router may feed for GrantTTL.
+func (g *Grants) Acquire(now time.Time, router string, groups []string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if now.Before(g.quietUntil) {
--- a/ramp/grants_test.go
+++ b/ramp/grants_test.go
@@ -34,7 +34,7 @@
 			i := rapid.IntRange(0, len(skews)-1).Draw(rt, "router")
 			asked := now
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(rt, "way")) * time.Millisecond)
-			if len(grants.Ask(now.Add(holderSkew), fmt.Sprint("router-", i), []string{"g"})) == 1 {
+			if len(grants.Acquire(now.Add(holderSkew), fmt.Sprint("router-", i), []string{"g"})) == 1 {
 				held[i] = asked.Add(skews[i]).Add(ramp.GrantTTL)
 			}
 			holders := 0
@@ -50,12 +50,12 @@
 
 func TestGrantIsRenewedAndEnds(t *testing.T) {
 	grants := ramp.NewGrants(start)
-	require.Empty(t, grants.Ask(start, "a", []string{"g"}), "the holder before may have granted it")
+	require.Empty(t, grants.Acquire(start, "a", []string{"g"}), "the holder before may have granted it")
 	at := start.Add(ramp.GrantTTL)
-	require.Equal(t, []string{"g"}, grants.Ask(at, "a", []string{"g"}))
+	require.Equal(t, []string{"g"}, grants.Acquire(at, "a", []string{"g"}))
 	at = at.Add(ramp.GrantTTL / 2)
-	require.Equal(t, []string{"g"}, grants.Ask(at, "a", []string{"g"}), "renewed")
-	require.Equal(t, []string{"h"}, grants.Ask(at, "b", []string{"g", "h"}))
+	require.Equal(t, []string{"g"}, grants.Acquire(at, "a", []string{"g"}), "renewed")
+	require.Equal(t, []string{"h"}, grants.Acquire(at, "b", []string{"g", "h"}))
 	at = at.Add(ramp.GrantTTL)
-	require.Equal(t, []string{"g"}, grants.Ask(at, "b", []string{"g"}), "ended")
+	require.Equal(t, []string{"g"}, grants.Acquire(at, "b", []string{"g"}), "ended")
 }
