--- a/place/place.go
+++ b/place/place.go
@@ -1,4 +1,4 @@
-// Package place decides which VMs form groups. It does no I/O.
+// Package place assigns free VMs to new groups. It does no I/O.
 package place
 
 import (
@@ -11,51 +11,51 @@
 type Demand struct {
 	Model redwinghall.Model
 	Count int
-	// PerDomain counts the model's groups that each fabric domain has now.
+	// PerDomain counts the model's current groups in each fabric domain.
 	PerDomain map[string]int
 }
 
-// Placement is the VMs of one new group; they share a fabric domain.
+// Placement holds the VMs of one new group, all of one fabric domain.
 type Placement struct {
 	Model  redwinghall.Model
 	Domain string
 	VMs    redwinghall.VMs
 }
 
-// Placer chooses VMs for the wanted groups from the free ones.
+// Placer chooses VMs for the demanded groups from the free ones.
 type Placer interface {
-	Place(free redwinghall.VMs, wants []Demand) []Placement
+	Place(free redwinghall.VMs, demands []Demand) []Placement
 }
 
-// BestFit is the placer of the product: larger replicas first, each into the
-// domain that is left with the fewest stranded VMs, and among equal ones into
-// the domain that has the fewest replicas of the model.
+// BestFit is the placer used in production. It places larger replicas first,
+// each in the domain that is left with the fewest stranded VMs; ties go to the
+// domain with the fewest replicas of the model.
 //
-// Guard: first-fit takes VMs from the first domain with room, so that after
-// some losses many domains keep fewer free VMs than a replica needs, and those
-// accelerators idle. And when all replicas of a model share a domain, one dark
-// domain ends the service.
+// First-fit would take VMs from the first domain with room. After some VM losses
+// many domains would have fewer free VMs than a replica needs, and their
+// accelerators would stay idle. Ties are broken by replica count so that the
+// failure of one domain doesn't take down all replicas of a model.
 type BestFit struct{}
 
 // Place implements Placer.
-func (BestFit) Place(free redwinghall.VMs, wants []Demand) []Placement {
+func (BestFit) Place(free redwinghall.VMs, demands []Demand) []Placement {
 	domains := byDomain(free)
-	sizes := replicaSizes(wants)
-	order := append([]Demand(nil), wants...)
+	sizes := replicaSizes(demands)
+	order := append([]Demand(nil), demands...)
 	sort.SliceStable(order, func(i, j int) bool {
 		return order[i].Model.VMsPerReplica > order[j].Model.VMsPerReplica
 	})
 	var out []Placement
-	for _, want := range order {
-		counts := copyCounts(want.PerDomain)
-		for range want.Count {
-			name, ok := bestDomain(domains, want.Model, counts, sizes)
+	for _, demand := range order {
+		counts := copyCounts(demand.PerDomain)
+		for range demand.Count {
+			name, ok := bestDomain(domains, demand.Model, counts, sizes)
 			if !ok {
 				break
 			}
-			vms := take(domains, name, want.Model)
+			vms := takeVMs(domains, name, demand.Model)
 			counts[name]++
-			out = append(out, Placement{Model: want.Model, Domain: name, VMs: vms})
+			out = append(out, Placement{Model: demand.Model, Domain: name, VMs: vms})
 		}
 	}
 	return out
@@ -72,11 +72,11 @@
 	return out
 }
 
-// replicaSizes returns the sizes that any wanted model has, largest first.
-func replicaSizes(wants []Demand) []int {
+// replicaSizes returns the distinct replica sizes of the demands, largest first.
+func replicaSizes(demands []Demand) []int {
 	seen := map[int]bool{}
 	var sizes []int
-	for _, w := range wants {
+	for _, w := range demands {
 		if !seen[w.Model.VMsPerReplica] {
 			seen[w.Model.VMsPerReplica] = true
 			sizes = append(sizes, w.Model.VMsPerReplica)
@@ -86,8 +86,8 @@
 	return sizes
 }
 
-// bestDomain returns the domain with the least (stranded VMs afterwards,
-// replicas of the model, free VMs afterwards, name).
+// bestDomain returns the domain with the lowest tuple of stranded VMs after the
+// placement, replicas of the model, free VMs after the placement, and name.
 func bestDomain(domains map[string]redwinghall.VMs, m redwinghall.Model, counts map[string]int, sizes []int) (string, bool) {
 	best, found := "", false
 	var bestScore [3]int
@@ -98,14 +98,14 @@
 		}
 		left := len(vms) - m.VMsPerReplica
 		score := [3]int{stranded(left, sizes), counts[name], left}
-		if !found || less(score, bestScore) || (score == bestScore && name < best) {
+		if !found || lessScore(score, bestScore) || (score == bestScore && name < best) {
 			best, bestScore, found = name, score, true
 		}
 	}
 	return best, found
 }
 
-func less(a, b [3]int) bool {
+func lessScore(a, b [3]int) bool {
 	for i := range a {
 		if a[i] != b[i] {
 			return a[i] < b[i]
@@ -114,8 +114,8 @@
 	return false
 }
 
-// stranded returns how many of left VMs no wanted replica size can use when
-// the sizes are filled in from the largest.
+// stranded returns how many of the remaining VMs no demanded replica can use when
+// replicas are placed greedily, largest size first.
 func stranded(left int, sizes []int) int {
 	for _, size := range sizes {
 		left %= size
@@ -133,7 +133,7 @@
 	return n
 }
 
-func take(domains map[string]redwinghall.VMs, name string, m redwinghall.Model) redwinghall.VMs {
+func takeVMs(domains map[string]redwinghall.VMs, name string, m redwinghall.Model) redwinghall.VMs {
 	var taken, left redwinghall.VMs
 	for _, vm := range domains[name] {
 		if len(taken) < m.VMsPerReplica && vm.Accelerators >= m.AcceleratorsPerVM {
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -26,23 +26,23 @@
 	return redwinghall.Model{ID: fmt.Sprint("m", size), VMsPerReplica: size, AcceleratorsPerVM: 8}
 }
 
-func TestPacked(t *testing.T) {
+func TestBestFit(t *testing.T) {
 	tests := []struct {
 		name    string
 		free    redwinghall.VMs
-		wants   []place.Demand
+		demands []place.Demand
 		domains []string
 	}{
 		{"takes the domain that strands none", vms(5, 4), []place.Demand{{Model: model(4), Count: 1}}, []string{"d1"}},
 		{"spreads replicas where that strands no more", vms(8, 8), []place.Demand{{Model: model(4), Count: 2}}, []string{"d0", "d1"}},
 		{"no domain has enough", vms(3, 3), []place.Demand{{Model: model(4), Count: 1}}, nil},
-		{"keeps away from where the model is", vms(4, 4), []place.Demand{{Model: model(4), Count: 1, PerDomain: map[string]int{"d0": 1}}}, []string{"d1"}},
+		{"prefers the domain with fewer replicas of the model", vms(4, 4), []place.Demand{{Model: model(4), Count: 1, PerDomain: map[string]int{"d0": 1}}}, []string{"d1"}},
 		{"larger replicas first", vms(4), []place.Demand{{Model: model(2), Count: 2}, {Model: model(4), Count: 1}}, []string{"d0"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var got []string
-			for _, p := range (place.BestFit{}).Place(tt.free, tt.wants) {
+			for _, p := range (place.BestFit{}).Place(tt.free, tt.demands) {
 				got = append(got, p.Domain)
 			}
 			require.Equal(t, tt.domains, got)
@@ -50,18 +50,18 @@
 	}
 }
 
-// Whatever is free and wanted: no VM is used twice, groups are whole and stay
-// in one domain, and never more groups are placed than wanted.
-func TestPackedNeverSharesAVM(t *testing.T) {
+// For any free VMs and demands: no VM is used twice, each group has all its VMs in
+// one domain, and no more groups are placed than demanded.
+func TestBestFitNeverSharesAVM(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		free := vms(rapid.SliceOfN(rapid.IntRange(0, 20), 1, 8).Draw(rt, "domains")...)
-		wants := []place.Demand{
+		demands := []place.Demand{
 			{Model: model(rapid.IntRange(1, 6).Draw(rt, "size")), Count: rapid.IntRange(0, 9).Draw(rt, "count")},
 			{Model: model(4), Count: rapid.IntRange(0, 9).Draw(rt, "fours")},
 		}
 		used := map[string]bool{}
-		placements := place.BestFit{}.Place(free, wants)
-		require.LessOrEqual(rt, len(placements), wants[0].Count+wants[1].Count)
+		placements := place.BestFit{}.Place(free, demands)
+		require.LessOrEqual(rt, len(placements), demands[0].Count+demands[1].Count)
 		for _, p := range placements {
 			require.Len(rt, p.VMs, p.Model.VMsPerReplica)
 			for _, vm := range p.VMs {
