--- a/ramp/grants.go
+++ b/ramp/grants.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// GrantTTL is how long a router may feed a cold group after it asked.
+// GrantTTL is how long a router may send to a cold group after it requested the
+// grant.
 const GrantTTL = 2 * time.Second
 
-// Grants says which router the zone's holder lets feed which cold group. Each
-// grant ends by itself.
+// Grants records which router may send to which cold group of a zone. The holder
+// of the zone's lease keeps it. Each grant expires after GrantTTL.
 //
-// Guard: routers choose a cold group's owner by hashing over the routers that
-// they see alive. When a router joins, dies or is cut off, two of them may
-// both think that they own a group, and together send twice what it bears;
-// the group falls over while it starts. The holder grants a group to one
-// router at a time, and to another only after the first grant has ended by
-// the holder's own clock. A router counts its grant from the moment at which
-// it asked, so it stops earlier, and clocks need not agree.
+// Routers choose a cold group's owner by hashing over the routers that they see
+// alive. When a router joins, dies or is partitioned, two of them may both take
+// themselves for the owner and together send twice what the group can handle, so
+// that it fails while it starts. So the holder grants a group to one router at a
+// time, and to another only after the first grant has expired by the holder's own
+// clock. A router counts its grant from the time of its request, so it stops
+// before the grant expires at the holder, and their clocks need not agree.
 type Grants struct {
-	mu         sync.Mutex
-	quietUntil time.Time
-	held       map[string]grant
+	mu           sync.Mutex
+	blockedUntil time.Time
+	held         map[string]grant
 }
 
 type grant struct {
@@ -30,22 +31,22 @@
 }
 
 // NewGrants returns the grants of a holder that took over at now. It grants
-// nothing until those of the holder before it have ended.
+// nothing for GrantTTL, until the grants of the previous holder have expired.
 func NewGrants(now time.Time) *Grants {
-	return &Grants{quietUntil: now.Add(GrantTTL), held: map[string]grant{}}
+	return &Grants{blockedUntil: now.Add(GrantTTL), held: map[string]grant{}}
 }
 
-// Acquire returns which of the groups the router may feed for GrantTTL.
+// Acquire returns those of the groups that the router may send to for GrantTTL.
 func (g *Grants) Acquire(now time.Time, router string, groups []string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now.Before(g.quietUntil) {
+	if now.Before(g.blockedUntil) {
 		return nil
 	}
 	var out []string
 	for _, group := range groups {
-		present, ok := g.held[group]
-		if ok && present.router != router && now.Before(present.until) {
+		current, ok := g.held[group]
+		if ok && current.router != router && now.Before(current.until) {
 			continue
 		}
 		g.held[group] = grant{router: router, until: now.Add(GrantTTL)}
@@ -54,7 +55,7 @@
 	return out
 }
 
-// Forget drops grants that ended.
+// Forget drops expired grants.
 func (g *Grants) Forget(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/ramp/grants_test.go
+++ b/ramp/grants_test.go
@@ -13,12 +13,12 @@
 
 var start = time.Date(2026, 1, 14, 5, 0, 0, 0, time.UTC)
 
-// A group falls over while it starts, although each router keeps its limit.
-// Order: its owner is cut off from its peers, not from the group; they choose
-// another owner; both send.
-// Judge: at no moment two routers hold the same group, over random asks,
-// answers that are late, changes of holder, and clocks that differ.
-func TestNeverTwoRoutersFeedAColdGroup(t *testing.T) {
+// Guards against overload of a starting group by two routers that each keep their
+// limit: the owner is partitioned from its peers but not from the group, the peers
+// choose another owner, and both send. At no time may two routers hold a grant for
+// the same group, with random requests, late responses, changes of the holder and
+// clock skew.
+func TestAtMostOneRouterHoldsAGrant(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		skews := []time.Duration{0, time.Hour, -time.Hour}
 		held := make([]time.Time, len(skews)) // by each router's own clock
@@ -48,14 +48,14 @@
 	})
 }
 
-func TestGrantIsRenewedAndEnds(t *testing.T) {
+func TestGrantIsRenewedAndExpires(t *testing.T) {
 	grants := ramp.NewGrants(start)
-	require.Empty(t, grants.Acquire(start, "a", []string{"g"}), "the holder before may have granted it")
+	require.Empty(t, grants.Acquire(start, "a", []string{"g"}), "the previous holder may have granted it")
 	at := start.Add(ramp.GrantTTL)
 	require.Equal(t, []string{"g"}, grants.Acquire(at, "a", []string{"g"}))
 	at = at.Add(ramp.GrantTTL / 2)
 	require.Equal(t, []string{"g"}, grants.Acquire(at, "a", []string{"g"}), "renewed")
 	require.Equal(t, []string{"h"}, grants.Acquire(at, "b", []string{"g", "h"}))
 	at = at.Add(ramp.GrantTTL)
-	require.Equal(t, []string{"g"}, grants.Acquire(at, "b", []string{"g"}), "ended")
+	require.Equal(t, []string{"g"}, grants.Acquire(at, "b", []string{"g"}), "expired")
 }
--- a/ramp/ramp.go
+++ b/ramp/ramp.go
@@ -1,31 +1,32 @@
-// Package ramp decides how much work each router may send to a group, so that
-// a group that has just started gets no more than it bears. It does no I/O.
+// Package ramp implements slow start: it limits the requests that each router
+// may have in progress at a group, so that a group that has just started isn't
+// overloaded. It does no I/O.
 package ramp
 
 import (
 	"redwinghall"
 )
 
-// Input is what a router knows when it asks for its share.
+// Input holds what determines a router's share of a group's limit.
 type Input struct {
 	Group     redwinghall.Group
-	Completed uint64 // by the leader since it started
-	Owner     bool   // this router alone feeds the group while it is cold
-	Routers   int    // live routers of the zone, this one included
+	Completed uint64 // requests completed by the leader since it started
+	Owner     bool   // this router alone sends to the group while it is cold
+	Routers   int    // live routers of the zone, including this one
 }
 
-// Ramp returns how many requests this router may have in progress in a group.
+// Ramp limits the requests that a router may have in progress at a group.
 type Ramp interface {
+	// Share returns the most requests that the router may have in progress.
 	Share(in Input) int
 }
 
-// SingleOwner is the ramp of the product.
+// SingleOwner is the ramp used in production. While a group is cold only its owner
+// sends to it, and the owner's limit rises with completed requests, not with time.
 //
-// Guard: after a cold start an engine falls over under a load that it later
-// bears with ease. If each router had a small start limit of its own, N
-// routers together would send N times as much; callers would see the group
-// fall over again and again. While the group is cold only its owner sends,
-// and its limit rises with completed work, never with time.
+// After a cold start an engine fails under a load that it can handle once warm.
+// If each router had a small limit of its own, N routers together would send N
+// times as much, and the group would fail again after each restart.
 type SingleOwner struct{}
 
 // Share implements Ramp.
@@ -40,8 +41,8 @@
 	return max(1, g.MaxInFlight/max(1, in.Routers))
 }
 
-// coldLimit rises in a straight line from ColdInFlight to MaxInFlight while
-// the first WarmAfter requests complete.
+// coldLimit rises linearly from ColdInFlight to MaxInFlight while the first
+// WarmAfter requests complete.
 func coldLimit(g redwinghall.Group, completed uint64) int {
 	rise := (g.MaxInFlight - g.ColdInFlight) * int(completed) / max(1, g.WarmAfter)
 	return g.ColdInFlight + rise
--- a/ramp/ramp_test.go
+++ b/ramp/ramp_test.go
@@ -13,11 +13,11 @@
 
 var group = redwinghall.Group{MaxInFlight: 32, ColdInFlight: 2, WarmAfter: 20}
 
-// A group that has just started falls over, and over again.
-// Order: it becomes ready; every router sends its own small share at once.
-// Cause: each router had a ramp of its own, so N routers sent N times as much.
-// Judge: the sum over all routers stays within what the group bears.
-func TestSumOverRoutersStaysWithinWhatTheGroupBears(t *testing.T) {
+// Guards against a starting group that fails repeatedly. Each router used to have
+// a ramp of its own, so when the group became ready, N routers sent N times as
+// much as it could handle. The sum over all routers has to stay within the limit
+// of the group.
+func TestSumOverRoutersStaysWithinGroupLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := redwinghall.Group{
 			MaxInFlight: rapid.IntRange(30, 300).Draw(rt, "max"), ColdInFlight: rapid.IntRange(1, 8).Draw(rt, "cold"),
@@ -29,11 +29,11 @@
 		for i := range routers {
 			sum += ramp.SingleOwner{}.Share(ramp.Input{Group: g, Completed: completed, Owner: i == 0, Routers: routers})
 		}
-		bears := g.MaxInFlight
+		limit := g.MaxInFlight
 		if int(completed) < g.WarmAfter {
-			bears = g.ColdInFlight + (g.MaxInFlight-g.ColdInFlight)*int(completed)/g.WarmAfter
+			limit = g.ColdInFlight + (g.MaxInFlight-g.ColdInFlight)*int(completed)/g.WarmAfter
 		}
-		require.LessOrEqual(rt, sum, bears)
+		require.LessOrEqual(rt, sum, limit)
 		require.Positive(rt, sum)
 	})
 }
@@ -47,11 +47,11 @@
 		want      int
 	}{
 		{"cold, the owner", 0, true, 4, 2},
-		{"cold, another", 0, false, 4, 0},
+		{"cold, not the owner", 0, false, 4, 0},
 		{"half way, the owner", 10, true, 4, 17},
 		{"warm, any", 20, false, 4, 8},
-		{"warm, alone", 20, true, 1, 32},
-		{"warm, more routers than room", 20, false, 100, 1},
+		{"warm, the only router", 20, true, 1, 32},
+		{"warm, more routers than MaxInFlight", 20, false, 100, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
