--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-func ask() balance.Ask {
-	return balance.Ask{
+func ask() balance.Request {
+	return balance.Request{
 		Service: service(), Model: engine().Models[0], Zone: "a", Prompt: 1500, Objective: 400 * time.Millisecond,
 		Tried: map[string]bool{}, Nodes: 1, ZoneNodes: 1, Node: "n1", ColdNear: 10, ColdFar: 3,
 	}
@@ -222,7 +222,7 @@
 		return &fleet.Endpoint{ID: id, Service: "desk", Zone: zone, State: fleet.EndpointReady, Slots: 6}
 	}
 	all := []*fleet.Endpoint{plain("bad", "a"), plain("good", "b")}
-	a := balance.Ask{Service: fleet.Service{Name: "desk"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
+	a := balance.Request{Service: fleet.Service{Name: "desk"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
 	counts := map[string]int{}
 	now := start
 	for range 100 {
@@ -240,7 +240,7 @@
 func TestLongStreamsOfAPlainServiceAreNoOverload(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{{ID: "feed", Service: "feed", Zone: "a", State: fleet.EndpointReady, Slots: 6}}
-	a := balance.Ask{Service: fleet.Service{Name: "feed"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
+	a := balance.Request{Service: fleet.Service{Name: "feed"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
 	now := start
 	for range 50 {
 		choice, none := tracker.Plain(now, all, nil, a)
@@ -302,7 +302,7 @@
 func TestExpectedIsTheLongestAnswer(t *testing.T) {
 	t.Parallel()
 	heads := []*fleet.Endpoint{head("only", "a", "large")}
-	expected := func(slow bool, change func(*balance.Ask)) time.Duration {
+	expected := func(slow bool, change func(*balance.Request)) time.Duration {
 		tracker := balance.NewTracker()
 		if slow {
 			slowDown(t, tracker, heads)
@@ -313,15 +313,15 @@
 		require.Nil(t, none)
 		return choice.Expected
 	}
-	short := expected(false, func(a *balance.Ask) { a.Answer = 60 })
-	long := expected(false, func(a *balance.Ask) { a.Answer = 600 })
+	short := expected(false, func(a *balance.Request) { a.Answer = 60 })
+	long := expected(false, func(a *balance.Request) { a.Answer = 600 })
 	require.Greater(t, short, 10*ask().Service.Engine.Step*6)
 	require.Greater(t, long, 9*short/2)
-	require.Greater(t, expected(true, func(a *balance.Ask) { a.Answer = 600 }), 2*long)
-	require.Zero(t, expected(false, func(*balance.Ask) {}), "the tokens aren't known")
+	require.Greater(t, expected(true, func(a *balance.Request) { a.Answer = 600 }), 2*long)
+	require.Zero(t, expected(false, func(*balance.Request) {}), "the tokens aren't known")
 
 	desk := &fleet.Endpoint{ID: "desk", Service: "desk", Zone: "a", State: fleet.EndpointReady, Slots: 4}
-	call := balance.Ask{Service: fleet.Service{Name: "desk"}, Zone: "a", Objective: time.Second}
+	call := balance.Request{Service: fleet.Service{Name: "desk"}, Zone: "a", Objective: time.Second}
 	choice, none := balance.NewTracker().Plain(start, []*fleet.Endpoint{desk}, nil, call)
 	require.Nil(t, none)
 	require.Zero(t, choice.Expected, "nobody says how long a plain service takes")
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -23,8 +23,8 @@
 	refuseBeyond = 1.1
 )
 
-// Ask is what choosing needs to know of a request.
-type Ask struct {
+// Request is what choosing needs to know of a request.
+type Request struct {
 	Service fleet.Service
 	Model   fleet.Model // of a stream at an engine
 	Zone    string      // of this node, which is the caller's
@@ -64,7 +64,7 @@
 }
 
 // WithZoneFull returns the ask without the groups of a zone.
-func (a Ask) WithZoneFull(zone string) Ask {
+func (a Request) WithZoneFull(zone string) Request {
 	full := map[string]bool{zone: true}
 	for one := range a.ZonesFull {
 		full[one] = true
@@ -74,7 +74,7 @@
 }
 
 // WithZonesFull returns the ask without the warm groups of all zones but one.
-func (a Ask) WithZonesFull(heads []*fleet.Endpoint, but string) Ask {
+func (a Request) WithZonesFull(heads []*fleet.Endpoint, but string) Request {
 	full := map[string]bool{a.Zone: true}
 	for _, e := range heads {
 		if e.Zone != but {
@@ -159,7 +159,7 @@
 }
 
 // Group chooses the group for a stream, or says why none is.
-func (t *Tracker) Group(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Ask) (Choice, *Refusal) {
+func (t *Tracker) Group(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ask.bias = t.bias
@@ -182,7 +182,7 @@
 
 // search holds what a choice asks for and the best endpoint found so far.
 type search struct {
-	ask      Ask
+	ask      Request
 	now      time.Time
 	zonesOut map[string]bool
 	weigh    func(time.Time, *State, *fleet.Endpoint) candidate
@@ -240,7 +240,7 @@
 
 // EndpointLeft reports whether another endpoint could take a stream over now. One with a
 // limit may give no permit, and a stream that was ended for it would be lost.
-func (t *Tracker) EndpointLeft(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, ask Ask) bool {
+func (t *Tracker) EndpointLeft(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, ask Request) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	look := &search{ask: ask, now: now, zonesOut: zonesOut, weigh: func(_ time.Time, s *State, e *fleet.Endpoint) candidate {
@@ -275,7 +275,7 @@
 }
 
 // refusalOfLate refuses a stream that even the best group would serve late.
-func refusalOfLate(now time.Time, best *candidate, ask Ask) *Refusal {
+func refusalOfLate(now time.Time, best *candidate, ask Request) *Refusal {
 	return &Refusal{
 		Reason: Overloaded, Predicted: best.predicted, RetryAfter: ask.retryWhenFull(best.predicted - ask.Objective),
 		Best: best.endpoint.ID, Running: best.running, Age: best.state.reportAge(now),
@@ -290,7 +290,7 @@
 	}
 }
 
-func (a Ask) weigh(now time.Time, s *State, e *fleet.Endpoint) candidate {
+func (a Request) weigh(now time.Time, s *State, e *fleet.Endpoint) candidate {
 	pace := NewPace(a.Service.Engine, a.Model, max(1, s.slowdown))
 	c := candidate{endpoint: e, state: s}
 	nodes := a.ZoneNodes
@@ -319,7 +319,7 @@
 	return c
 }
 
-func (t *Tracker) take(now time.Time, c *candidate, ask Ask) Choice {
+func (t *Tracker) take(now time.Time, c *candidate, ask Request) Choice {
 	if ask.Service.ColdPerSecond > 0 && c.endpoint.ColdAt(now) {
 		share := ask.coldShare(c.endpoint)
 		c.state.cold.take(now, share/2, share/2)
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -13,7 +13,7 @@
 //
 // Guard: a cold endpoint falls over under full load, and all nodes send at
 // once when it appears. Each node spends only its own part of the rate.
-func (a Ask) admits(now time.Time, s *State, e *fleet.Endpoint) bool {
+func (a Request) admits(now time.Time, s *State, e *fleet.Endpoint) bool {
 	if a.Service.ColdPerSecond <= 0 || !e.ColdAt(now) {
 		return true
 	}
@@ -27,7 +27,7 @@
 
 // coldShare returns the most requests that this node sends to a cold endpoint
 // in any second: half of it at once, and half of it a second.
-func (a Ask) coldShare(e *fleet.Endpoint) float64 {
+func (a Request) coldShare(e *fleet.Endpoint) float64 {
 	share := a.ColdFar
 	if e.Zone == a.Zone {
 		share = a.ColdNear
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -216,7 +216,7 @@
 
 // limitedFor returns how long an endpoint's limit keeps it from one more request, 0 if it
 // doesn't as far as this node knows.
-func (a Ask) limitedFor(now time.Time, s *State) time.Duration {
+func (a Request) limitedFor(now time.Time, s *State) time.Duration {
 	l := &s.limit
 	switch {
 	case !l.limit.Named:
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -98,7 +98,7 @@
 func (p *limitPlay) request(node int, at time.Duration) *balance.Visit {
 	now := start.Add(at)
 	t := p.trackers[node]
-	choice, none := t.Plain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Ask{Zone: "a", Service: fleet.Service{Name: "desk"}, Objective: time.Hour})
+	choice, none := t.Plain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Request{Zone: "a", Service: fleet.Service{Name: "desk"}, Objective: time.Hour})
 	if none != nil {
 		return nil
 	}
@@ -181,7 +181,7 @@
 
 func needyVisit(t *testing.T, tracker *balance.Tracker, now time.Time) *balance.Visit {
 	t.Helper()
-	choice, none := tracker.Plain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Ask{Zone: "a", Objective: time.Second})
+	choice, none := tracker.Plain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Request{Zone: "a", Objective: time.Second})
 	require.Nil(t, none)
 	return choice.Visit
 }
@@ -229,7 +229,7 @@
 func TestLimitedEndpointIsNotLeftForAStream(t *testing.T) {
 	tracker := balance.NewTracker()
 	heads := []*fleet.Endpoint{head("needy", "a", "small")}
-	ask := balance.Ask{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second}
+	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second}
 	require.True(t, tracker.EndpointLeft(start, heads, nil, ask))
 	tracker.LearnLimits(start, []balance.LimitWord{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 2}}})
 	require.False(t, tracker.EndpointLeft(start, heads, nil, ask))
@@ -240,7 +240,7 @@
 func TestDispatcherThatKnowsNoLimitPermitsNothing(t *testing.T) {
 	dispatcher, tracker := balance.NewTracker(), balance.NewTracker()
 	needy := head("needy", "a", "small")
-	ask := balance.Ask{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, Lends: 0.8}
+	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, Lends: 0.8}
 	tracker.LearnLimits(start, []balance.LimitWord{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
 	choice, none := dispatcher.Reserve(start, []*fleet.Endpoint{needy}, nil, ask, balance.Claimant{Node: "n1"})
 	require.Nil(t, none)
@@ -262,7 +262,7 @@
 func TestDispatcherKeepsLimits(t *testing.T) {
 	tracker := balance.NewTracker()
 	heads := []*fleet.Endpoint{head("needy", "a", "small")}
-	ask := balance.Ask{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, Lends: 0.5}
+	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, Lends: 0.5}
 	tracker.LearnLimits(start, []balance.LimitWord{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
 	_, none := tracker.Reserve(start, heads, nil, ask, balance.Claimant{Node: "n1"})
 	require.Equal(t, balance.Limited, none.Reason)
--- a/balance/longest.go
+++ b/balance/longest.go
@@ -6,7 +6,7 @@
 
 // longest returns how long the longest answer takes that a stream of an engine
 // may get, 0 if that isn't known. Other services don't say how long theirs are.
-func (a Ask) longest(c *candidate) time.Duration {
+func (a Request) longest(c *candidate) time.Duration {
 	engine := a.Service.Engine
 	if engine == nil || a.Answer <= 0 || engine.Stride <= 0 {
 		return 0
--- a/balance/plain.go
+++ b/balance/plain.go
@@ -18,7 +18,7 @@
 )
 
 // Plain chooses the endpoint of a plain service for a request.
-func (t *Tracker) Plain(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, ask Ask) (Choice, *Refusal) {
+func (t *Tracker) Plain(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, ask Request) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	look := &search{ask: ask, now: now, zonesOut: zonesOut, weigh: ask.weighPlain}
@@ -33,7 +33,7 @@
 	return t.take(now, best, ask), nil
 }
 
-func (a Ask) weighPlain(now time.Time, s *State, e *fleet.Endpoint) candidate {
+func (a Request) weighPlain(now time.Time, s *State, e *fleet.Endpoint) candidate {
 	running := s.running(now)
 	c := candidate{endpoint: e, state: s, running: running}
 	work := s.latency
--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -38,7 +38,7 @@
 // the same group as the emptiest and choose it until they hear of each other:
 // its prompts wait for each other, its places run out, and first events come
 // late. Where one node chooses for all, it knows of each stream that it placed.
-func (t *Tracker) Reserve(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Ask, claimant Claimant) (Choice, *Refusal) {
+func (t *Tracker) Reserve(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request, claimant Claimant) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ask.bias = t.bias
@@ -64,7 +64,7 @@
 //
 // Gain: when all zones are full, each stream would ask every one of them before it is
 // refused. Those bytes cost, and so do the answers.
-func (t *Tracker) Elsewhere(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Ask) string {
+func (t *Tracker) Elsewhere(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ask.bias = t.bias
@@ -119,7 +119,7 @@
 }
 
 // Take notes that a request goes to an endpoint that another node chose.
-func (t *Tracker) Take(now time.Time, e *fleet.Endpoint, ask Ask, predicted time.Duration) Choice {
+func (t *Tracker) Take(now time.Time, e *fleet.Endpoint, ask Request, predicted time.Duration) Choice {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ask.bias = t.bias
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -145,7 +145,7 @@
 // alone after failed connections.
 func TestRefusalTellsWhyNothingWasFound(t *testing.T) {
 	heads := []*fleet.Endpoint{head("one", "b", "large"), head("two", "c", "large")}
-	refusal := func(tracker *balance.Tracker, heads []*fleet.Endpoint, one balance.Ask) *balance.Refusal {
+	refusal := func(tracker *balance.Tracker, heads []*fleet.Endpoint, one balance.Request) *balance.Refusal {
 		_, none := tracker.Group(start, heads, nil, one)
 		require.NotNil(t, none)
 		return none
--- a/balance/retry_time.go
+++ b/balance/retry_time.go
@@ -15,7 +15,7 @@
 // Guard: the places that are taken now come free over the time that a request
 // stays. Told all the same short time, callers meet the same full groups, are
 // turned away again and give up. So they are spread over that time.
-func (a Ask) retryWhenFull(wait time.Duration) time.Duration {
+func (a Request) retryWhenFull(wait time.Duration) time.Duration {
 	engine := a.Service.Engine
 	if engine == nil {
 		return max(wait, retrySoon)
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -223,8 +223,8 @@
 	})
 }
 
-func (p *zonePlay) ask(prompt int) balance.Ask {
-	return balance.Ask{
+func (p *zonePlay) ask(prompt int) balance.Request {
+	return balance.Request{
 		Service: fleet.Service{Name: "llm", Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Prompt: prompt,
 		Objective: zoneObjective, Nodes: 5 * p.nodes, ZoneNodes: p.nodes, Node: "n",
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -172,7 +172,7 @@
 //
 // Guard: after a start of all nodes, each that doesn't know the others yet would take what
 // all of them share for its own.
-func (g *Gateway) ask(r *Request, tried map[string]bool) balance.Ask {
+func (g *Gateway) ask(r *Request, tried map[string]bool) balance.Request {
 	shares := g.Shares()
 	nodes := max(1, shares.Nodes)
 	settings := g.Settings()
@@ -184,7 +184,7 @@
 	if shares.Nodes == 0 {
 		cold = 0
 	}
-	ask := balance.Ask{
+	ask := balance.Request{
 		Service: r.Service, Zone: settings.Zone, Prompt: r.Ask.Prompt, Answer: r.Ask.MaxAnswer, Objective: r.Route.Objective, Tried: tried,
 		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, Dispatches: shares.Dispatches,
 		ColdNear: coldNear * cold / float64(zone), ColdFar: (1 - coldNear) * cold / float64(max(1, nodes-zone)),
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -13,7 +13,7 @@
 // chooseGroup chooses the group for a stream. Where another node dispatches for
 // this zone, it is asked first; without its answer this node chooses by what
 // it knows itself.
-func (c *streamCall) chooseGroup(ctx context.Context, now time.Time, ask balance.Ask) (balance.Choice, *balance.Refusal) {
+func (c *streamCall) chooseGroup(ctx context.Context, now time.Time, ask balance.Request) (balance.Choice, *balance.Refusal) {
 	heads := c.r.view.Heads(c.r.Service.Name, c.r.Ask.Model)
 	if c.g.Placer == nil || !c.g.Placer.Dispatched(now) {
 		return c.chooseByZones(ctx, now, heads, ask)
@@ -39,7 +39,7 @@
 
 // dispatched asks the dispatcher of this zone for a group. It reports false if there was no
 // answer that this node can go by.
-func (c *streamCall) dispatched(ctx context.Context, heads []*fleet.Endpoint, ask balance.Ask) (dispatched, bool) {
+func (c *streamCall) dispatched(ctx context.Context, heads []*fleet.Endpoint, ask balance.Request) (dispatched, bool) {
 	tickets := &c.g.Tracker.Tickets
 	ticket := tickets.Open()
 	defer tickets.Close(ticket)
@@ -66,7 +66,7 @@
 }
 
 // taken returns the choice that another node made for the stream.
-func (c *streamCall) taken(now time.Time, placed *fleet.Endpoint, ask balance.Ask, placement fleet.Placement) balance.Choice {
+func (c *streamCall) taken(now time.Time, placed *fleet.Endpoint, ask balance.Request, placement fleet.Placement) balance.Choice {
 	choice := c.g.Tracker.Take(now, placed, ask, placement.Predicted)
 	return choice.WithPermit(choice.Permitted || placement.Permitted)
 }
@@ -74,7 +74,7 @@
 // offered returns the endpoint of a placement, and whether this node may use
 // it. Where views differ, this node's own decides: it may know of a group that
 // turned cold or closed since.
-func (c *streamCall) offered(now time.Time, placement fleet.Placement, ask balance.Ask) (*fleet.Endpoint, bool) {
+func (c *streamCall) offered(now time.Time, placement fleet.Placement, ask balance.Request) (*fleet.Endpoint, bool) {
 	placed, known := c.r.view.Endpoints[placement.Endpoint]
 	return placed, known && !placed.ColdAt(now) && balance.Usable(&ask.Service, placed, c.r.view.ZonesOut)
 }
@@ -87,7 +87,7 @@
 // Guard: a zone that gives no answer is mostly cut off, and a stream that is sent
 // there waits for a connection that never comes. So it is used only where no other
 // zone takes the stream.
-func (c *streamCall) chooseByZones(ctx context.Context, now time.Time, heads []*fleet.Endpoint, ask balance.Ask) (balance.Choice, *balance.Refusal) {
+func (c *streamCall) chooseByZones(ctx context.Context, now time.Time, heads []*fleet.Endpoint, ask balance.Request) (balance.Choice, *balance.Refusal) {
 	view := c.r.view
 	var unanswered *balance.Choice
 	for {
@@ -125,7 +125,7 @@
 }
 
 // placement returns what a zone needs to know of the stream.
-func (c *streamCall) placement(ask balance.Ask) fleet.PlacementRequest {
+func (c *streamCall) placement(ask balance.Request) fleet.PlacementRequest {
 	request := fleet.PlacementRequest{
 		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, GoesOn: ask.GoesOn,
 	}
--- a/node/placement.go
+++ b/node/placement.go
@@ -95,7 +95,7 @@
 		n.tracker.Complain(now, id, request.Node)
 	}
 	heads := view.Heads(request.Service, request.Model)
-	ask := balance.Ask{
+	ask := balance.Request{
 		Service: service, Model: model, Zone: n.settings.Zone, Prompt: request.Prompt, Objective: request.Objective, Tried: tried,
 		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), Dispatches: n.dispatches(now), GoesOn: request.GoesOn,
 		Lends: n.lenderShare(n.settings.Zone),
