--- a/balance/choose.go
+++ b/balance/choose.go
@@ -88,7 +88,7 @@
 // Choice is the endpoint for a request, with what decided it.
 type Choice struct {
 	Endpoint *fleet.Endpoint
-	Visit    *Visit
+	Visit    *Attempt
 	// Predicted is the time to the first event, or to the answer of a plain
 	// service.
 	Predicted time.Duration
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -108,7 +108,7 @@
 //
 // Guard: answers overtake each other. One to a request from before the limit was named
 // doesn't end it, and neither does a rejection.
-func (v *Visit) Limited(now time.Time, limit fleet.RateLimit, ran bool) (before fleet.RateLimit, changed bool) {
+func (v *Attempt) Limited(now time.Time, limit fleet.RateLimit, ran bool) (before fleet.RateLimit, changed bool) {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	l := &v.s.limit
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -54,7 +54,7 @@
 	}
 	type answer struct {
 		at    time.Duration
-		visit *balance.Visit
+		visit *balance.Attempt
 	}
 	var answers []answer
 	told := make([]time.Duration, p.nodes)
@@ -95,7 +95,7 @@
 }
 
 // request lets a node send a request to the endpoint with the limit, unless it isn't permitted.
-func (p *limitPlay) request(node int, at time.Duration) *balance.Visit {
+func (p *limitPlay) request(node int, at time.Duration) *balance.Attempt {
 	now := start.Add(at)
 	t := p.trackers[node]
 	choice, none := t.Plain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Request{Zone: "a", Service: fleet.Service{Name: "desk"}, Objective: time.Hour})
@@ -179,7 +179,7 @@
 	return &fleet.Endpoint{ID: id, Service: "desk", Zone: zone, State: fleet.EndpointReady, Slots: slots}
 }
 
-func needyVisit(t *testing.T, tracker *balance.Tracker, now time.Time) *balance.Visit {
+func needyVisit(t *testing.T, tracker *balance.Tracker, now time.Time) *balance.Attempt {
 	t.Helper()
 	choice, none := tracker.Plain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Request{Zone: "a", Objective: time.Second})
 	require.Nil(t, none)
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -23,7 +23,7 @@
 	perSecond     float64
 	length        time.Duration
 	// choose returns the index of the group for a request of a node, or -1.
-	choose func(now time.Time, node int, prompt int) (int, *balance.Visit)
+	choose func(now time.Time, node int, prompt int) (int, *balance.Attempt)
 	share  func(now time.Time)
 }
 
@@ -120,7 +120,7 @@
 	}
 	return play{
 		nodes: nodes, groups: count, perSecond: perSecond, length: time.Minute,
-		choose: func(now time.Time, node, prompt int) (int, *balance.Visit) {
+		choose: func(now time.Time, node, prompt int) (int, *balance.Attempt) {
 			a := ask()
 			a.Prompt, a.Nodes, a.ZoneNodes = prompt, nodes, nodes
 			choice, none := trackers[node].Group(now, heads, nil, a)
@@ -152,7 +152,7 @@
 	groups := newGroups(2)
 	return play{
 		nodes: 2, groups: 2, perSecond: perSecond, length: time.Minute,
-		choose: func(time.Time, int, int) (int, *balance.Visit) {
+		choose: func(time.Time, int, int) (int, *balance.Attempt) {
 			best, least := 0, 1<<30
 			for i, g := range groups {
 				if running, waiting := g.Load(); running+waiting < least {
--- a/balance/visit.go
+++ b/balance/visit.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// A Visit is one request at one endpoint. Its methods are called by one
+// A Attempt is one request at one endpoint. Its methods are called by one
 // goroutine; Done is called once.
-type Visit struct {
+type Attempt struct {
 	t       *Tracker
 	s       *State
 	sentAt  time.Time
@@ -18,7 +18,7 @@
 }
 
 // visit notes that a request goes to an endpoint. The lock is held.
-func (t *Tracker) visit(now time.Time, s *State, prompt int, predicted, queued time.Duration) *Visit {
+func (t *Tracker) visit(now time.Time, s *State, prompt int, predicted, queued time.Duration) *Attempt {
 	s.own++
 	s.unstarted++
 	s.unread += prompt
@@ -26,18 +26,18 @@
 	if s.waitingSince.IsZero() {
 		s.waitingSince = now
 	}
-	return &Visit{t: t, s: s, sentAt: now, prompt: prompt, last: now, predicted: predicted, queued: queued}
+	return &Attempt{t: t, s: s, sentAt: now, prompt: prompt, last: now, predicted: predicted, queued: queued}
 }
 
 // Told takes in the endpoint's own report of its load.
-func (v *Visit) Told(now time.Time, running int) {
+func (v *Attempt) Told(now time.Time, running int) {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	v.s.reported, v.s.ownAtReport, v.s.reportedAt = running, v.s.own, now
 }
 
 // Event notes an event of a stream. usual returns the pause that the pace predicts.
-func (v *Visit) Event(now time.Time, usual func(running int) time.Duration) {
+func (v *Attempt) Event(now time.Time, usual func(running int) time.Duration) {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	s := v.s
@@ -82,7 +82,7 @@
 	t.bias = min(max(t.bias, biasLeast), biasMost)
 }
 
-func (v *Visit) start() {
+func (v *Attempt) start() {
 	if v.started {
 		return
 	}
@@ -92,7 +92,7 @@
 }
 
 // leave takes the request off the endpoint's counts. The lock is held.
-func (v *Visit) leave() {
+func (v *Attempt) leave() {
 	v.start()
 	v.s.own--
 	if v.s.own == 0 {
@@ -101,14 +101,14 @@
 }
 
 // Withdraw ends a visit that was not made.
-func (v *Visit) Withdraw() {
+func (v *Attempt) Withdraw() {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	v.leave()
 }
 
 // Done ends the visit. ok says whether the endpoint did what was asked.
-func (v *Visit) Done(now time.Time, ok bool) {
+func (v *Attempt) Done(now time.Time, ok bool) {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	s := v.s
@@ -123,7 +123,7 @@
 
 // answeredAfter is how long the caller waited: until the first event of a
 // stream, or until the answer.
-func (v *Visit) answeredAfter(now time.Time) time.Duration {
+func (v *Attempt) answeredAfter(now time.Time) time.Duration {
 	if v.first.IsZero() {
 		return now.Sub(v.sentAt)
 	}
@@ -131,7 +131,7 @@
 }
 
 // Silent returns how long this node has waited for any event of an endpoint.
-func (v *Visit) Silent(now time.Time) time.Duration {
+func (v *Attempt) Silent(now time.Time) time.Duration {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	if v.s.waitingSince.IsZero() {
