--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -130,7 +130,7 @@
 					at := time.Duration(ms) * time.Millisecond
 					if choice, none := tracker.Group(start.Add(at), []*fleet.Endpoint{cold}, nil, a); none == nil {
 						sentAt = append(sentAt, at)
-						choice.Visit.Done(start.Add(at), true)
+						choice.Attempt.Done(start.Add(at), true)
 					}
 				}
 			}
@@ -230,7 +230,7 @@
 		require.Nil(t, none)
 		counts[choice.Endpoint.ID]++
 		now = now.Add(60 * time.Millisecond)
-		choice.Visit.Done(now, choice.Endpoint.ID == "good")
+		choice.Attempt.Done(now, choice.Endpoint.ID == "good")
 	}
 	require.Less(t, counts["bad"], 10)
 }
@@ -245,9 +245,9 @@
 	for range 50 {
 		choice, none := tracker.Plain(now, all, nil, a)
 		require.Nil(t, none)
-		choice.Visit.Event(now.Add(50*time.Millisecond), nil)
+		choice.Attempt.Event(now.Add(50*time.Millisecond), nil)
 		now = now.Add(5 * time.Second)
-		choice.Visit.Done(now, true)
+		choice.Attempt.Done(now, true)
 	}
 }
 
@@ -289,7 +289,7 @@
 			for range b.N {
 				choice, none := tracker.Group(start, all, nil, one)
 				if none == nil {
-					choice.Visit.Done(start, true)
+					choice.Attempt.Done(start, true)
 				}
 			}
 		})
@@ -334,7 +334,7 @@
 	require.Nil(t, none)
 	usual := func(int) time.Duration { return 40 * time.Millisecond }
 	for i := range 400 {
-		choice.Visit.Event(start.Add(time.Duration(i)*120*time.Millisecond), usual)
+		choice.Attempt.Event(start.Add(time.Duration(i)*120*time.Millisecond), usual)
 	}
-	choice.Visit.Done(start.Add(50*time.Second), true)
+	choice.Attempt.Done(start.Add(50*time.Second), true)
 }
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -88,7 +88,7 @@
 // Choice is the endpoint for a request, with what decided it.
 type Choice struct {
 	Endpoint *fleet.Endpoint
-	Visit    *Attempt
+	Attempt  *Attempt
 	// Predicted is the time to the first event, or to the answer of a plain
 	// service.
 	Predicted time.Duration
@@ -325,7 +325,7 @@
 		c.state.cold.take(now, share/2, share/2)
 	}
 	return Choice{
-		Endpoint: c.endpoint, Visit: t.visit(now, c.state, ask.Prompt, c.predicted, c.queued),
+		Endpoint: c.endpoint, Attempt: t.visit(now, c.state, ask.Prompt, c.predicted, c.queued),
 		Predicted: c.predicted, Expected: ask.longest(c), Running: c.running, Age: c.state.reportAge(now),
 		Permitted: !c.state.limit.limit.Named,
 	}
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -110,12 +110,12 @@
 		permit := p.trackers[place].Lend(now, t.Limit(now, "needy"), balance.LenderShare(place))
 		if !permit.Given {
 			t.NotPermitted(now, "needy", permit.Wait)
-			choice.Visit.Withdraw()
+			choice.Attempt.Withdraw()
 			return nil
 		}
 	}
 	p.arrived = append(p.arrived, at)
-	return choice.Visit
+	return choice.Attempt
 }
 
 // most returns the most requests in any limitWindow after the limit was known.
@@ -183,7 +183,7 @@
 	t.Helper()
 	choice, none := tracker.Plain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Request{Zone: "a", Objective: time.Second})
 	require.Nil(t, none)
-	return choice.Visit
+	return choice.Attempt
 }
 
 // Answers overtake each other: only one to a request that was sent after the limit was
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -127,7 +127,7 @@
 			if none != nil {
 				return -1, nil
 			}
-			return int(choice.Endpoint.ID[0] - 'a'), choice.Visit
+			return int(choice.Endpoint.ID[0] - 'a'), choice.Attempt
 		},
 		share: func(now time.Time) {
 			for i := range trackers {
--- a/balance/places_test.go
+++ b/balance/places_test.go
@@ -31,8 +31,8 @@
 		choice, none := tracker.Group(start, heads, nil, one)
 		require.Nil(t, none)
 		at := start.Add(pace.FirstEvent(0, 0, one.Prompt) + preparation)
-		choice.Visit.Event(at, usual)
-		choice.Visit.Done(at, true)
+		choice.Attempt.Event(at, usual)
+		choice.Attempt.Done(at, true)
 	}
 	busy := []*fleet.Endpoint{head("busy", "a", "small")}
 	refused := func(there int) *balance.Refusal {
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -120,9 +120,9 @@
 	e := head("one", "a", "large")
 	choice, none := tracker.Group(start, []*fleet.Endpoint{e}, nil, ask())
 	require.Nil(t, none)
-	choice.Visit.Withdraw()
+	choice.Attempt.Withdraw()
 	require.Equal(t, balance.Snapshot{Slow: 1}, tracker.Snapshot(start, e))
-	require.Zero(t, choice.Visit.Silent(start.Add(time.Second)))
+	require.Zero(t, choice.Attempt.Silent(start.Add(time.Second)))
 }
 
 func TestZonesThatAreFullAreLeftOut(t *testing.T) {
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -244,11 +244,11 @@
 			slowest = max(slowest, at.Sub(last))
 		}
 		last = at
-		choice.Visit.Event(at, usual)
+		choice.Attempt.Event(at, usual)
 		if !end {
 			return
 		}
-		choice.Visit.Done(at, true)
+		choice.Attempt.Done(at, true)
 		p.firsts = append(p.firsts, first.Sub(c.arrived))
 		if first.Sub(c.arrived) <= zoneObjective && slowest <= zonePause {
 			p.inTime++
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -43,7 +43,7 @@
 		if permit.Given {
 			return choice.WithPermit(true), nil
 		}
-		choice.Visit.Withdraw()
+		choice.Attempt.Withdraw()
 		klog.InfoS("not_permitted", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID, "answered", ok, "wait", permit.Wait,
 			"per_second", permit.Limit.Limit.PerSecond, "limit_age", permit.Limit.Age)
 		g.Metrics.NotPermitted()
@@ -79,7 +79,7 @@
 		return
 	}
 	limit := answer.Verdict.Limit
-	before, changed := choice.Visit.Limited(time.Now(), limit, !answer.Verdict.NotRun)
+	before, changed := choice.Attempt.Limited(time.Now(), limit, !answer.Verdict.NotRun)
 	if !changed {
 		return
 	}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -166,16 +166,16 @@
 func (c *plainCall) note(choice balance.Choice, last try) {
 	now := time.Now()
 	if last.err != nil {
-		choice.Visit.Done(now, false)
+		choice.Attempt.Done(now, false)
 		klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
 			"kind", redwinghall.KindOf[Kind](last.err), "running", choice.Running, "err", last.err)
 		return
 	}
 	load := last.answer.Verdict.Load
 	if load.Known {
-		choice.Visit.Told(now, load.Running+load.Waiting)
+		choice.Attempt.Told(now, load.Running+load.Waiting)
 	}
-	choice.Visit.Done(now, !last.notRun && last.answer.Status < http.StatusInternalServerError)
+	choice.Attempt.Done(now, !last.notRun && last.answer.Status < http.StatusInternalServerError)
 	if last.answer.Status == http.StatusMisdirectedRequest {
 		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
 	}
@@ -196,7 +196,7 @@
 // failed ends a visit that brought no answer.
 func (c *plainCall) failed(choice balance.Choice, err error) try {
 	now := time.Now()
-	choice.Visit.Done(now, false)
+	choice.Attempt.Done(now, false)
 	if redwinghall.KindOf[Kind](err) == NotSent {
 		c.dials++
 		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -67,7 +67,7 @@
 			return
 		}
 		if now, stop := time.Now(), g.stop(); !call.begun && !stop.Takes(now, choice.Expected, r.Deadline) {
-			choice.Visit.Withdraw()
+			choice.Attempt.Withdraw()
 			call.refuse(stop.refusal(now, choice.Expected))
 			return
 		}
@@ -128,7 +128,7 @@
 	c.mayHaveRun = c.mayHaveRun || redwinghall.KindOf[Kind](last.err) == Unknown
 	ok := last.err == nil && !last.notRun
 	now := time.Now()
-	choice.Visit.Done(now, ok || (ctx.Err() != nil && !stalled.Load()))
+	choice.Attempt.Done(now, ok || (ctx.Err() != nil && !stalled.Load()))
 	switch {
 	case redwinghall.KindOf[Kind](last.err) == NotSent && ctx.Err() == nil:
 		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
@@ -165,7 +165,7 @@
 	defer func() { _ = answer.Body.Close() }()
 	c.g.noteLimit(c.r, choice, answer)
 	if answer.Verdict.Load.Known {
-		choice.Visit.Told(time.Now(), answer.Verdict.Load.Running+answer.Verdict.Load.Waiting)
+		choice.Attempt.Told(time.Now(), answer.Verdict.Load.Running+answer.Verdict.Load.Waiting)
 	}
 	switch {
 	case answer.Verdict.NotRun:
@@ -228,7 +228,7 @@
 			return err
 		}
 		now := time.Now()
-		choice.Visit.Event(now, pace)
+		choice.Attempt.Event(now, pace)
 		if c.seen(event) {
 			continue
 		}
