--- a/balance/visit.go
+++ b/balance/visit.go
@@ -29,8 +29,8 @@
 	return &Attempt{t: t, s: s, sentAt: now, prompt: prompt, last: now, predicted: predicted, queued: queued}
 }
 
-// Told takes in the endpoint's own report of its load.
-func (v *Attempt) Told(now time.Time, running int) {
+// RecordLoad takes in the endpoint's own report of its load.
+func (v *Attempt) RecordLoad(now time.Time, running int) {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	v.s.reported, v.s.ownAtReport, v.s.reportedAt = running, v.s.own, now
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -173,7 +173,7 @@
 	}
 	load := last.answer.Verdict.Load
 	if load.Known {
-		choice.Attempt.Told(now, load.Running+load.Waiting)
+		choice.Attempt.RecordLoad(now, load.Running+load.Waiting)
 	}
 	choice.Attempt.Done(now, !last.notRun && last.answer.Status < http.StatusInternalServerError)
 	if last.answer.Status == http.StatusMisdirectedRequest {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -165,7 +165,7 @@
 	defer func() { _ = answer.Body.Close() }()
 	c.g.noteLimit(c.r, choice, answer)
 	if answer.Verdict.Load.Known {
-		choice.Attempt.Told(time.Now(), answer.Verdict.Load.Running+answer.Verdict.Load.Waiting)
+		choice.Attempt.RecordLoad(time.Now(), answer.Verdict.Load.Running+answer.Verdict.Load.Waiting)
 	}
 	switch {
 	case answer.Verdict.NotRun:
