--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -245,7 +245,7 @@
 	for range 50 {
 		choice, none := tracker.Plain(now, all, nil, a)
 		require.Nil(t, none)
-		choice.Attempt.Event(now.Add(50*time.Millisecond), nil)
+		choice.Attempt.RecordEvent(now.Add(50*time.Millisecond), nil)
 		now = now.Add(5 * time.Second)
 		choice.Attempt.Done(now, true)
 	}
@@ -334,7 +334,7 @@
 	require.Nil(t, none)
 	usual := func(int) time.Duration { return 40 * time.Millisecond }
 	for i := range 400 {
-		choice.Attempt.Event(start.Add(time.Duration(i)*120*time.Millisecond), usual)
+		choice.Attempt.RecordEvent(start.Add(time.Duration(i)*120*time.Millisecond), usual)
 	}
 	choice.Attempt.Done(start.Add(50*time.Second), true)
 }
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -80,7 +80,7 @@
 			}
 			last = at
 			if visit != nil {
-				visit.Event(at, nil)
+				visit.RecordEvent(at, nil)
 			}
 			if !end {
 				return
--- a/balance/places_test.go
+++ b/balance/places_test.go
@@ -31,7 +31,7 @@
 		choice, none := tracker.Group(start, heads, nil, one)
 		require.Nil(t, none)
 		at := start.Add(pace.FirstEvent(0, 0, one.Prompt) + preparation)
-		choice.Attempt.Event(at, usual)
+		choice.Attempt.RecordEvent(at, usual)
 		choice.Attempt.Done(at, true)
 	}
 	busy := []*fleet.Endpoint{head("busy", "a", "small")}
--- a/balance/visit.go
+++ b/balance/visit.go
@@ -36,8 +36,8 @@
 	v.s.reported, v.s.ownAtReport, v.s.reportedAt = running, v.s.own, now
 }
 
-// Event notes an event of a stream. usual returns the pause that the pace predicts.
-func (v *Attempt) Event(now time.Time, usual func(running int) time.Duration) {
+// RecordEvent notes an event of a stream. usual returns the pause that the pace predicts.
+func (v *Attempt) RecordEvent(now time.Time, usual func(running int) time.Duration) {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	s := v.s
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -244,7 +244,7 @@
 			slowest = max(slowest, at.Sub(last))
 		}
 		last = at
-		choice.Attempt.Event(at, usual)
+		choice.Attempt.RecordEvent(at, usual)
 		if !end {
 			return
 		}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -228,7 +228,7 @@
 			return err
 		}
 		now := time.Now()
-		choice.Attempt.Event(now, pace)
+		choice.Attempt.RecordEvent(now, pace)
 		if c.seen(event) {
 			continue
 		}
