--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -110,7 +110,7 @@
 		permit := p.trackers[place].Lend(now, t.Limit(now, "needy"), balance.LenderShare(place))
 		if !permit.Given {
 			t.NotPermitted(now, "needy", permit.Wait)
-			choice.Attempt.Withdraw()
+			choice.Attempt.Cancel()
 			return nil
 		}
 	}
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -120,7 +120,7 @@
 	e := head("one", "a", "large")
 	choice, none := tracker.Group(start, []*fleet.Endpoint{e}, nil, ask())
 	require.Nil(t, none)
-	choice.Attempt.Withdraw()
+	choice.Attempt.Cancel()
 	require.Equal(t, balance.Snapshot{Slow: 1}, tracker.Snapshot(start, e))
 	require.Zero(t, choice.Attempt.Silent(start.Add(time.Second)))
 }
--- a/balance/visit.go
+++ b/balance/visit.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Withdraw ends a visit that was not made.
-func (v *Attempt) Withdraw() {
+// Cancel ends a visit that was not made.
+func (v *Attempt) Cancel() {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	v.leave()
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -43,7 +43,7 @@
 		if permit.Given {
 			return choice.WithPermit(true), nil
 		}
-		choice.Attempt.Withdraw()
+		choice.Attempt.Cancel()
 		klog.InfoS("not_permitted", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID, "answered", ok, "wait", permit.Wait,
 			"per_second", permit.Limit.Limit.PerSecond, "limit_age", permit.Limit.Age)
 		g.Metrics.NotPermitted()
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -103,7 +103,7 @@
 		placed, usable := c.offered(now, placement, ask)
 		switch {
 		case !ok:
-			choice.Attempt.Withdraw()
+			choice.Attempt.Cancel()
 			if unanswered == nil {
 				unanswered = &choice
 			}
@@ -111,14 +111,14 @@
 		case placement.Endpoint == "":
 			klog.InfoS("zone_has_no_room", "request", c.r.Ask.ID, "zone", choice.Endpoint.Zone, "there", placement.Predicted,
 				"predicted_here", choice.Predicted, "load_age", choice.Age)
-			choice.Attempt.Withdraw()
+			choice.Attempt.Cancel()
 			ask = ask.WithZoneFull(choice.Endpoint.Zone)
 		case !usable:
 			return choice, nil
 		case placed.ID == choice.Endpoint.ID:
 			return choice.WithPermit(choice.Permitted || placement.Permitted), nil
 		default:
-			choice.Attempt.Withdraw()
+			choice.Attempt.Cancel()
 			return c.taken(now, placed, ask, placement), nil
 		}
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -67,7 +67,7 @@
 			return
 		}
 		if now, stop := time.Now(), g.stop(); !call.begun && !stop.Takes(now, choice.Expected, r.Deadline) {
-			choice.Attempt.Withdraw()
+			choice.Attempt.Cancel()
 			call.refuse(stop.refusal(now, choice.Expected))
 			return
 		}
