--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -122,7 +122,7 @@
 	require.Nil(t, none)
 	choice.Attempt.Cancel()
 	require.Equal(t, balance.Snapshot{Slow: 1}, tracker.Snapshot(start, e))
-	require.Zero(t, choice.Attempt.Silent(start.Add(time.Second)))
+	require.Zero(t, choice.Attempt.TimeWithoutEvent(start.Add(time.Second)))
 }
 
 func TestZonesThatAreFullAreLeftOut(t *testing.T) {
--- a/balance/visit.go
+++ b/balance/visit.go
@@ -130,8 +130,8 @@
 	return v.first.Sub(v.sentAt)
 }
 
-// Silent returns how long this node has waited for any event of an endpoint.
-func (v *Attempt) Silent(now time.Time) time.Duration {
+// TimeWithoutEvent returns how long this node has waited for any event of an endpoint.
+func (v *Attempt) TimeWithoutEvent(now time.Time) time.Duration {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	if v.s.waitingSince.IsZero() {
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -40,7 +40,7 @@
 		return
 	}
 	now := time.Now()
-	if silent := w.choice.Attempt.Silent(now); silent < w.limit {
+	if silent := w.choice.Attempt.TimeWithoutEvent(now); silent < w.limit {
 		w.timer.Reset(max(silenceCheck, w.limit-silent))
 		return
 	}
