--- a/balance/limit.go
+++ b/balance/limit.go
@@ -102,13 +102,13 @@
 	return time.Duration((1 - l.permits.tokens) / rate * float64(time.Second))
 }
 
-// Limited takes in what an answer says of the endpoint's limit. ran says that it is the
+// RecordLimit takes in what an answer says of the endpoint's limit. ran says that it is the
 // answer of a request that ran. It returns what was known before, and whether that has
 // changed.
 //
 // Guard: answers overtake each other. One to a request from before the limit was named
 // doesn't end it, and neither does a rejection.
-func (v *Attempt) Limited(now time.Time, limit fleet.RateLimit, ran bool) (before fleet.RateLimit, changed bool) {
+func (v *Attempt) RecordLimit(now time.Time, limit fleet.RateLimit, ran bool) (before fleet.RateLimit, changed bool) {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
 	l := &v.s.limit
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -72,7 +72,7 @@
 			if answers[0].at-limitAnswer >= limitNamedAt {
 				limit = fleet.RateLimit{Named: true, PerSecond: p.perSecond}
 			}
-			answers[0].visit.Limited(start.Add(answers[0].at), limit, true)
+			answers[0].visit.RecordLimit(start.Add(answers[0].at), limit, true)
 			answers[0].visit.Done(start.Add(answers[0].at), true)
 			answers = answers[1:]
 		}
@@ -193,14 +193,14 @@
 	early := needyVisit(t, tracker, start)
 	early2 := needyVisit(t, tracker, start)
 	named := fleet.RateLimit{Named: true, PerSecond: 2}
-	early.Limited(start.Add(time.Second), named, true)
-	early2.Limited(start.Add(2*time.Second), fleet.RateLimit{}, true)
+	early.RecordLimit(start.Add(time.Second), named, true)
+	early2.RecordLimit(start.Add(2*time.Second), fleet.RateLimit{}, true)
 	now := start.Add(3 * time.Second)
 	require.Equal(t, named, tracker.Limit(now, "needy").Limit)
 	later := needyVisit(t, tracker, now)
-	later.Limited(now, fleet.RateLimit{}, false)
+	later.RecordLimit(now, fleet.RateLimit{}, false)
 	require.Equal(t, named, tracker.Limit(now, "needy").Limit, "a rejection says nothing of it")
-	later.Limited(now, fleet.RateLimit{}, true)
+	later.RecordLimit(now, fleet.RateLimit{}, true)
 	require.Equal(t, fleet.RateLimit{}, tracker.Limit(now, "needy").Limit)
 }
 
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -79,7 +79,7 @@
 		return
 	}
 	limit := answer.Verdict.Limit
-	before, changed := choice.Attempt.Limited(time.Now(), limit, !answer.Verdict.NotRun)
+	before, changed := choice.Attempt.RecordLimit(time.Now(), limit, !answer.Verdict.NotRun)
 	if !changed {
 		return
 	}
