--- a/balance/choose.go
+++ b/balance/choose.go
@@ -42,9 +42,9 @@
 	ColdNear, ColdFar float64
 	// Nodes is how many nodes there are, ZoneNodes how many in this zone.
 	Nodes, ZoneNodes int
-	// Dispatches says that this node chooses for all nodes of its zone, so that it
+	// IsDispatcher says that this node chooses for all nodes of its zone, so that it
 	// knows what they send.
-	Dispatches bool
+	IsDispatcher bool
 	// ZonesFull holds the zones that said that they can't serve the stream in
 	// time. Their cold groups, which no zone offers, are not meant.
 	ZonesFull map[string]bool
@@ -297,7 +297,7 @@
 	switch {
 	case e.Zone != a.Zone:
 		nodes = a.Nodes
-	case a.Dispatches:
+	case a.IsDispatcher:
 		nodes = 1
 	}
 	known, unshared := s.others(now), s.unshared(now, nodes)
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -185,7 +185,7 @@
 		return
 	}
 	ask := p.ask(c.prompt)
-	ask.Dispatches = p.dispatched
+	ask.IsDispatcher = p.dispatched
 	choice, none := p.trackers[node].Group(p.now, p.heads, nil, ask)
 	if none != nil {
 		p.refuse(c, none)
@@ -210,7 +210,7 @@
 	ticket := p.tickets[node].Open()
 	p.after(zoneHop, func() {
 		ask := p.ask(c.prompt)
-		ask.Dispatches = true
+		ask.IsDispatcher = true
 		choice, none := p.trackers[0].Reserve(p.now, p.heads, nil, ask, balance.Claimant{Node: strconv.Itoa(node), Ticket: ticket})
 		p.after(zoneHop, func() {
 			defer p.tickets[node].Close(ticket)
