--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -102,7 +102,7 @@
 		}
 	}
 	moved := ask()
-	moved.GoesOn = true
+	moved.Resumed = true
 	_, none := tracker.Group(start, all, nil, moved)
 	require.Nil(t, none)
 }
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -48,9 +48,9 @@
 	// ZonesFull holds the zones that said that they can't serve the stream in
 	// time. Their cold groups, which no zone offers, are not meant.
 	ZonesFull map[string]bool
-	// GoesOn says that the stream was taken from another group: it is worth
+	// Resumed says that the stream was taken from another group: it is worth
 	// finishing late, and is not refused for being so.
-	GoesOn bool
+	Resumed bool
 	// Connections bounds this node's requests at one endpoint.
 	Connections int
 	// Lends is the part of an endpoint's limit that this node lends to others, 0 where
@@ -174,7 +174,7 @@
 	if best == nil {
 		return Choice{}, look.refusal()
 	}
-	if !ask.GoesOn && float64(best.predicted) > refuseBeyond*float64(ask.Objective) {
+	if !ask.Resumed && float64(best.predicted) > refuseBeyond*float64(ask.Objective) {
 		return Choice{}, refusalOfLate(now, best, ask)
 	}
 	return t.take(now, best, ask), nil
--- a/balance/plain.go
+++ b/balance/plain.go
@@ -27,7 +27,7 @@
 	if best == nil {
 		return Choice{}, look.refusal()
 	}
-	if !ask.GoesOn && (best.full || float64(best.predicted) > refuseBeyond*float64(max(ask.Objective, defaultLatency))) {
+	if !ask.Resumed && (best.full || float64(best.predicted) > refuseBeyond*float64(max(ask.Objective, defaultLatency))) {
 		return Choice{}, &Refusal{Reason: Overloaded, Predicted: best.predicted, RetryAfter: retrySoon}
 	}
 	return t.take(now, best, ask), nil
--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -48,7 +48,7 @@
 	if best == nil {
 		return Choice{}, look.refusal()
 	}
-	if !ask.GoesOn && best.predicted > ask.Objective {
+	if !ask.Resumed && best.predicted > ask.Objective {
 		return Choice{}, refusalOfLate(now, best, ask)
 	}
 	best.state.reserve(now, claimant, ask.Prompt)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -87,7 +87,7 @@
 // its model, or an endpoint of a plain service.
 func (c *streamCall) choose(ctx context.Context) (balance.Choice, *balance.Refusal) {
 	ask := c.g.ask(c.r, c.tried)
-	ask.GoesOn = c.sent.Load() > 0
+	ask.Resumed = c.sent.Load() > 0
 	if c.r.Service.Engine == nil {
 		return c.g.choosePlain(ctx, c.r, ask)
 	}
