--- a/balance/choose.go
+++ b/balance/choose.go
@@ -53,9 +53,9 @@
 	Resumed bool
 	// Connections bounds this node's requests at one endpoint.
 	Connections int
-	// Lends is the part of an endpoint's limit that this node lends to others, 0 where
+	// PermitShare is the part of an endpoint's limit that this node lends to others, 0 where
 	// it doesn't choose for them.
-	Lends float64
+	PermitShare float64
 	// LimitedFor is how long the limits of its endpoints keep the caller's zone from one
 	// more request, 0 if they don't.
 	LimitedFor time.Duration
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -221,8 +221,8 @@
 	switch {
 	case !l.limit.Named:
 		return 0
-	case a.Lends > 0:
-		return l.untilPermit(now, l.lentRate(a.Lends))
+	case a.PermitShare > 0:
+		return l.untilPermit(now, l.lentRate(a.PermitShare))
 	}
 	return max(0, l.refusedUntil.Sub(now))
 }
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -240,7 +240,7 @@
 func TestDispatcherThatKnowsNoLimitPermitsNothing(t *testing.T) {
 	dispatcher, tracker := balance.NewTracker(), balance.NewTracker()
 	needy := head("needy", "a", "small")
-	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, Lends: 0.8}
+	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, PermitShare: 0.8}
 	tracker.LearnLimits(start, []balance.LimitWord{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
 	choice, none := dispatcher.Reserve(start, []*fleet.Endpoint{needy}, nil, ask, balance.Claimant{Node: "n1"})
 	require.Nil(t, none)
@@ -262,7 +262,7 @@
 func TestDispatcherKeepsLimits(t *testing.T) {
 	tracker := balance.NewTracker()
 	heads := []*fleet.Endpoint{head("needy", "a", "small")}
-	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, Lends: 0.5}
+	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, PermitShare: 0.5}
 	tracker.LearnLimits(start, []balance.LimitWord{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
 	_, none := tracker.Reserve(start, heads, nil, ask, balance.Claimant{Node: "n1"})
 	require.Equal(t, balance.Limited, none.Reason)
--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -53,7 +53,7 @@
 	}
 	best.state.reserve(now, claimant, ask.Prompt)
 	limited := best.state.limit.limit.Named
-	lent, _ := best.state.limit.lend(now, ask.Lends) // it was weighed because there is one
+	lent, _ := best.state.limit.lend(now, ask.PermitShare) // it was weighed because there is one
 	return Choice{
 		Endpoint: best.endpoint, Predicted: best.predicted, Running: best.running, Age: best.state.reportAge(now), Permitted: limited && lent,
 	}, nil
@@ -68,8 +68,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ask.bias = t.bias
-	ask.Nodes = 2 // this one, and all that it tells: what it told counts once
-	ask.Lends = 0 // other zones lend for their own endpoints
+	ask.Nodes = 2       // this one, and all that it tells: what it told counts once
+	ask.PermitShare = 0 // other zones lend for their own endpoints
 	look := &search{ask: ask, now: now, zonesOut: zonesOut, weigh: ask.weigh}
 	look.consider(t, heads, func(e *fleet.Endpoint) bool { return e.Zone != ask.Zone && !e.ColdAt(now) })
 	best := look.best
