--- a/balance/cold.go
+++ b/balance/cold.go
@@ -30,7 +30,7 @@
 func (a Request) coldShare(e *fleet.Endpoint) float64 {
 	share := a.ColdFar
 	if e.Zone == a.Zone {
-		share = a.ColdNear
+		share = a.ColdRateOwnZone
 	}
 	if share >= minColdShare {
 		return share
