--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -34,7 +34,7 @@
 func ask() balance.Request {
 	return balance.Request{
 		Service: service(), Model: engine().Models[0], Zone: "a", Prompt: 1500, Objective: 400 * time.Millisecond,
-		Tried: map[string]bool{}, Nodes: 1, ZoneNodes: 1, Node: "n1", ColdRateOwnZone: 10, ColdFar: 3,
+		Tried: map[string]bool{}, Nodes: 1, ZoneNodes: 1, Node: "n1", ColdRateOwnZone: 10, ColdRateOtherZones: 3,
 	}
 }
 
@@ -123,7 +123,7 @@
 				for ms := range 2000 {
 					a := ask()
 					a.Service.ColdPerSecond, a.Objective, a.Node = 36, time.Hour, strconv.Itoa(i)
-					a.ColdRateOwnZone, a.ColdFar = 0.75*0.75*bears/float64(zone), 0.75*0.25*bears/float64(nodes-zone)
+					a.ColdRateOwnZone, a.ColdRateOtherZones = 0.75*0.75*bears/float64(zone), 0.75*0.25*bears/float64(nodes-zone)
 					if i >= zone {
 						a.Zone = "b"
 					}
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -36,10 +36,10 @@
 	Tried map[string]bool
 	// Node is this node's name.
 	Node string
-	// ColdRateOwnZone and ColdFar are the most requests that this node may send to a
+	// ColdRateOwnZone and ColdRateOtherZones are the most requests that this node may send to a
 	// cold endpoint of its own or another zone in any second. Below 2, some of
 	// the nodes send 2 and the others none.
-	ColdRateOwnZone, ColdFar float64
+	ColdRateOwnZone, ColdRateOtherZones float64
 	// Nodes is how many nodes there are, ZoneNodes how many in this zone.
 	Nodes, ZoneNodes int
 	// IsDispatcher says that this node chooses for all nodes of its zone, so that it
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -28,7 +28,7 @@
 // coldShare returns the most requests that this node sends to a cold endpoint
 // in any second: half of it at once, and half of it a second.
 func (a Request) coldShare(e *fleet.Endpoint) float64 {
-	share := a.ColdFar
+	share := a.ColdRateOtherZones
 	if e.Zone == a.Zone {
 		share = a.ColdRateOwnZone
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -187,7 +187,7 @@
 	ask := balance.Request{
 		Service: r.Service, Zone: settings.Zone, Prompt: r.Ask.Prompt, Answer: r.Ask.MaxAnswer, Objective: r.Route.Objective, Tried: tried,
 		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, IsDispatcher: shares.Dispatches,
-		ColdRateOwnZone: coldNear * cold / float64(zone), ColdFar: (1 - coldNear) * cold / float64(max(1, nodes-zone)),
+		ColdRateOwnZone: coldNear * cold / float64(zone), ColdRateOtherZones: (1 - coldNear) * cold / float64(max(1, nodes-zone)),
 		Connections: connectionShare(r.Service.MaxConnections, nodes),
 	}
 	if r.Service.Engine != nil {
