--- a/balance/choose.go
+++ b/balance/choose.go
@@ -73,8 +73,8 @@
 	return a
 }
 
-// WithZonesFull returns the ask without the warm groups of all zones but one.
-func (a Request) WithZonesFull(heads []*fleet.Endpoint, but string) Request {
+// WithOnlyZone returns the ask without the warm groups of all zones but one.
+func (a Request) WithOnlyZone(heads []*fleet.Endpoint, but string) Request {
 	full := map[string]bool{a.Zone: true}
 	for _, e := range heads {
 		if e.Zone != but {
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -23,7 +23,7 @@
 	case placement.choice != nil:
 		return *placement.choice, nil
 	case answered:
-		ask = ask.WithZonesFull(heads, placement.elsewhere)
+		ask = ask.WithOnlyZone(heads, placement.elsewhere)
 		ask.LimitedFor = placement.limitedFor
 	}
 	return c.chooseByZones(ctx, time.Now(), heads, ask)
