--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -45,7 +45,7 @@
 	member := head("member", "a", "large")
 	member.Member.Rank = 2
 	all := []*fleet.Endpoint{closing, drained, out, member, head("other", "a", "small")}
-	_, none := balance.NewTracker().Group(start, all, map[string]bool{"b": true}, ask())
+	_, none := balance.NewTracker().ChooseGroup(start, all, map[string]bool{"b": true}, ask())
 	require.NotNil(t, none)
 	require.Equal(t, balance.NoEndpoint, none.Reason)
 	require.Positive(t, none.RetryAfter)
@@ -55,13 +55,13 @@
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("far", "b", "large"), head("near", "a", "large")}
 	for range 5 {
-		choice, none := tracker.Group(start, all, nil, ask())
+		choice, none := tracker.ChooseGroup(start, all, nil, ask())
 		require.Nil(t, none)
 		require.Equal(t, "near", choice.Endpoint.ID)
 	}
 	far := 0
 	for range 12 {
-		choice, none := tracker.Group(start, all, nil, ask())
+		choice, none := tracker.ChooseGroup(start, all, nil, ask())
 		if none == nil && choice.Endpoint.ID == "far" {
 			far++
 		}
@@ -79,7 +79,7 @@
 	var refusal *balance.Refusal
 	for refusal == nil {
 		var choice balance.Choice
-		choice, refusal = tracker.Group(start, all, nil, ask())
+		choice, refusal = tracker.ChooseGroup(start, all, nil, ask())
 		if refusal == nil {
 			taken++
 			require.LessOrEqual(t, choice.Predicted, 440*time.Millisecond)
@@ -97,13 +97,13 @@
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("only", "a", "large")}
 	for {
-		if _, none := tracker.Group(start, all, nil, ask()); none != nil {
+		if _, none := tracker.ChooseGroup(start, all, nil, ask()); none != nil {
 			break
 		}
 	}
 	moved := ask()
 	moved.Resumed = true
-	_, none := tracker.Group(start, all, nil, moved)
+	_, none := tracker.ChooseGroup(start, all, nil, moved)
 	require.Nil(t, none)
 }
 
@@ -128,7 +128,7 @@
 						a.Zone = "b"
 					}
 					at := time.Duration(ms) * time.Millisecond
-					if choice, none := tracker.Group(start.Add(at), []*fleet.Endpoint{cold}, nil, a); none == nil {
+					if choice, none := tracker.ChooseGroup(start.Add(at), []*fleet.Endpoint{cold}, nil, a); none == nil {
 						sentAt = append(sentAt, at)
 						choice.Attempt.Done(start.Add(at), true)
 					}
@@ -166,7 +166,7 @@
 		for range 8 {
 			a := ask()
 			a.Nodes, a.ZoneNodes = nodes, 2
-			if _, none := tracker.Group(start, []*fleet.Endpoint{opened}, nil, a); none == nil {
+			if _, none := tracker.ChooseGroup(start, []*fleet.Endpoint{opened}, nil, a); none == nil {
 				prompts++
 			}
 		}
@@ -194,10 +194,10 @@
 func TestLooksFarOnlyWhenTheZoneIsLate(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("far", "b", "large"), head("near", "a", "large")}
-	_, none := tracker.Group(start, all, nil, ask())
+	_, none := tracker.ChooseGroup(start, all, nil, ask())
 	require.Nil(t, none)
 	require.False(t, tracker.LooksFar(start))
-	_, none = tracker.Group(start, all[:1], nil, ask())
+	_, none = tracker.ChooseGroup(start, all[:1], nil, ask())
 	require.Nil(t, none)
 	require.True(t, tracker.LooksFar(start.Add(time.Second)))
 	require.False(t, tracker.LooksFar(start.Add(time.Minute)))
@@ -207,12 +207,12 @@
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("only", "a", "large")}
 	tracker.Unreachable(start, "only")
-	_, none := tracker.Group(start.Add(100*time.Millisecond), all, nil, ask())
+	_, none := tracker.ChooseGroup(start.Add(100*time.Millisecond), all, nil, ask())
 	require.NotNil(t, none)
-	_, none = tracker.Group(start.Add(500*time.Millisecond), all, nil, ask())
+	_, none = tracker.ChooseGroup(start.Add(500*time.Millisecond), all, nil, ask())
 	require.Nil(t, none)
 	tracker.Unreachable(start.Add(600*time.Millisecond), "only")
-	_, none = tracker.Group(start.Add(1100*time.Millisecond), all, nil, ask())
+	_, none = tracker.ChooseGroup(start.Add(1100*time.Millisecond), all, nil, ask())
 	require.NotNil(t, none, "the pause grows")
 }
 
@@ -287,7 +287,7 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				choice, none := tracker.Group(start, all, nil, one)
+				choice, none := tracker.ChooseGroup(start, all, nil, one)
 				if none == nil {
 					choice.Attempt.Done(start, true)
 				}
@@ -309,7 +309,7 @@
 		}
 		one := ask()
 		change(&one)
-		choice, none := tracker.Group(start.Add(time.Minute), heads, nil, one)
+		choice, none := tracker.ChooseGroup(start.Add(time.Minute), heads, nil, one)
 		require.Nil(t, none)
 		return choice.Expected
 	}
@@ -330,7 +330,7 @@
 // slowDown lets a tracker see a group whose events come at a third of the declared pace.
 func slowDown(t *testing.T, tracker *balance.Tracker, heads []*fleet.Endpoint) {
 	t.Helper()
-	choice, none := tracker.Group(start, heads, nil, ask())
+	choice, none := tracker.ChooseGroup(start, heads, nil, ask())
 	require.Nil(t, none)
 	usual := func(int) time.Duration { return 40 * time.Millisecond }
 	for i := range 400 {
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -158,8 +158,8 @@
 	full      bool
 }
 
-// Group chooses the group for a stream, or says why none is.
-func (t *Tracker) Group(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request) (Choice, *Refusal) {
+// ChooseGroup chooses the group for a stream, or says why none is.
+func (t *Tracker) ChooseGroup(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ask.bias = t.bias
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -123,7 +123,7 @@
 		choose: func(now time.Time, node, prompt int) (int, *balance.Attempt) {
 			a := ask()
 			a.Prompt, a.Nodes, a.ZoneNodes = prompt, nodes, nodes
-			choice, none := trackers[node].Group(now, heads, nil, a)
+			choice, none := trackers[node].ChooseGroup(now, heads, nil, a)
 			if none != nil {
 				return -1, nil
 			}
--- a/balance/places_test.go
+++ b/balance/places_test.go
@@ -28,7 +28,7 @@
 	usual := func(running int) time.Duration { return pace.Pass(running, 0) }
 	for i := range 500 {
 		heads := []*fleet.Endpoint{head("quiet-"+strconv.Itoa(i), "a", "small")}
-		choice, none := tracker.Group(start, heads, nil, one)
+		choice, none := tracker.ChooseGroup(start, heads, nil, one)
 		require.Nil(t, none)
 		at := start.Add(pace.FirstEvent(0, 0, one.Prompt) + preparation)
 		choice.Attempt.RecordEvent(at, usual)
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -24,7 +24,7 @@
 	for i := range nodes {
 		far := ask()
 		far.Nodes, far.ZoneNodes = 2*nodes, nodes
-		if _, none := balance.NewTracker().Group(start, heads, nil, far); none == nil {
+		if _, none := balance.NewTracker().ChooseGroup(start, heads, nil, far); none == nil {
 			unasked++
 		}
 		request := ask()
@@ -118,7 +118,7 @@
 func TestWithdrawnVisitLeavesNothing(t *testing.T) {
 	tracker := balance.NewTracker()
 	e := head("one", "a", "large")
-	choice, none := tracker.Group(start, []*fleet.Endpoint{e}, nil, ask())
+	choice, none := tracker.ChooseGroup(start, []*fleet.Endpoint{e}, nil, ask())
 	require.Nil(t, none)
 	choice.Attempt.Cancel()
 	require.Equal(t, balance.Snapshot{Slow: 1}, tracker.Snapshot(start, e))
@@ -131,10 +131,10 @@
 		heads = append(heads, head("h"+strconv.Itoa(i), zone, "large"))
 	}
 	tracker := balance.NewTracker()
-	choice, none := tracker.Group(start, heads, nil, ask().WithZoneFull("b"))
+	choice, none := tracker.ChooseGroup(start, heads, nil, ask().WithZoneFull("b"))
 	require.Nil(t, none)
 	require.Equal(t, "c", choice.Endpoint.Zone)
-	_, none = tracker.Group(start, heads, nil, ask().WithZoneFull("b").WithZoneFull("c"))
+	_, none = tracker.ChooseGroup(start, heads, nil, ask().WithZoneFull("b").WithZoneFull("c"))
 	require.NotNil(t, none)
 }
 
@@ -146,7 +146,7 @@
 func TestRefusalTellsWhyNothingWasFound(t *testing.T) {
 	heads := []*fleet.Endpoint{head("one", "b", "large"), head("two", "c", "large")}
 	refusal := func(tracker *balance.Tracker, heads []*fleet.Endpoint, one balance.Request) *balance.Refusal {
-		_, none := tracker.Group(start, heads, nil, one)
+		_, none := tracker.ChooseGroup(start, heads, nil, one)
 		require.NotNil(t, none)
 		return none
 	}
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -186,7 +186,7 @@
 	}
 	ask := p.ask(c.prompt)
 	ask.IsDispatcher = p.dispatched
-	choice, none := p.trackers[node].Group(p.now, p.heads, nil, ask)
+	choice, none := p.trackers[node].ChooseGroup(p.now, p.heads, nil, ask)
 	if none != nil {
 		p.refuse(c, none)
 		return
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -91,7 +91,7 @@
 	view := c.r.view
 	var unanswered *balance.Choice
 	for {
-		choice, none := c.g.Tracker.Group(now, heads, view.ZonesOut, ask)
+		choice, none := c.g.Tracker.ChooseGroup(now, heads, view.ZonesOut, ask)
 		if none != nil && unanswered != nil {
 			return c.g.Tracker.Take(now, unanswered.Endpoint, ask, unanswered.Predicted), nil
 		}
