--- a/balance/choose.go
+++ b/balance/choose.go
@@ -238,9 +238,9 @@
 	l.limited++
 }
 
-// EndpointLeft reports whether another endpoint could take a stream over now. One with a
+// HasAlternative reports whether another endpoint could take a stream over now. One with a
 // limit may give no permit, and a stream that was ended for it would be lost.
-func (t *Tracker) EndpointLeft(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, ask Request) bool {
+func (t *Tracker) HasAlternative(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, ask Request) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	look := &search{ask: ask, now: now, zonesOut: zonesOut, weigh: func(_ time.Time, s *State, e *fleet.Endpoint) candidate {
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -230,9 +230,9 @@
 	tracker := balance.NewTracker()
 	heads := []*fleet.Endpoint{head("needy", "a", "small")}
 	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second}
-	require.True(t, tracker.EndpointLeft(start, heads, nil, ask))
+	require.True(t, tracker.HasAlternative(start, heads, nil, ask))
 	tracker.LearnLimits(start, []balance.LimitWord{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 2}}})
-	require.False(t, tracker.EndpointLeft(start, heads, nil, ask))
+	require.False(t, tracker.HasAlternative(start, heads, nil, ask))
 }
 
 // The node that chooses for a zone may not know of a limit yet that the asking node knows:
