--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -226,7 +226,7 @@
 	counts := map[string]int{}
 	now := start
 	for range 100 {
-		choice, none := tracker.Plain(now, all, nil, a)
+		choice, none := tracker.ChoosePlain(now, all, nil, a)
 		require.Nil(t, none)
 		counts[choice.Endpoint.ID]++
 		now = now.Add(60 * time.Millisecond)
@@ -243,7 +243,7 @@
 	a := balance.Request{Service: fleet.Service{Name: "feed"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
 	now := start
 	for range 50 {
-		choice, none := tracker.Plain(now, all, nil, a)
+		choice, none := tracker.ChoosePlain(now, all, nil, a)
 		require.Nil(t, none)
 		choice.Attempt.RecordEvent(now.Add(50*time.Millisecond), nil)
 		now = now.Add(5 * time.Second)
@@ -322,7 +322,7 @@
 
 	desk := &fleet.Endpoint{ID: "desk", Service: "desk", Zone: "a", State: fleet.EndpointReady, Slots: 4}
 	call := balance.Request{Service: fleet.Service{Name: "desk"}, Zone: "a", Objective: time.Second}
-	choice, none := balance.NewTracker().Plain(start, []*fleet.Endpoint{desk}, nil, call)
+	choice, none := balance.NewTracker().ChoosePlain(start, []*fleet.Endpoint{desk}, nil, call)
 	require.Nil(t, none)
 	require.Zero(t, choice.Expected, "nobody says how long a plain service takes")
 }
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -98,7 +98,7 @@
 func (p *limitPlay) request(node int, at time.Duration) *balance.Attempt {
 	now := start.Add(at)
 	t := p.trackers[node]
-	choice, none := t.Plain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Request{Zone: "a", Service: fleet.Service{Name: "desk"}, Objective: time.Hour})
+	choice, none := t.ChoosePlain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Request{Zone: "a", Service: fleet.Service{Name: "desk"}, Objective: time.Hour})
 	if none != nil {
 		return nil
 	}
@@ -181,7 +181,7 @@
 
 func needyVisit(t *testing.T, tracker *balance.Tracker, now time.Time) *balance.Attempt {
 	t.Helper()
-	choice, none := tracker.Plain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Request{Zone: "a", Objective: time.Second})
+	choice, none := tracker.ChoosePlain(now, []*fleet.Endpoint{desk("needy", "a", 6)}, nil, balance.Request{Zone: "a", Objective: time.Second})
 	require.Nil(t, none)
 	return choice.Attempt
 }
--- a/balance/plain.go
+++ b/balance/plain.go
@@ -17,8 +17,8 @@
 	defaultLatency = 50 * time.Millisecond
 )
 
-// Plain chooses the endpoint of a plain service for a request.
-func (t *Tracker) Plain(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, ask Request) (Choice, *Refusal) {
+// ChoosePlain chooses the endpoint of a plain service for a request.
+func (t *Tracker) ChoosePlain(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, ask Request) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	look := &search{ask: ask, now: now, zonesOut: zonesOut, weigh: ask.weighPlain}
