--- a/balance/complaints.go
+++ b/balance/complaints.go
@@ -20,8 +20,8 @@
 	complaintTrust   = time.Second
 )
 
-// Complain notes that an endpoint doesn't answer another node, for which this one chooses.
-func (t *Tracker) Complain(now time.Time, id, node string) {
+// RecordFailureReport notes that an endpoint doesn't answer another node, for which this one chooses.
+func (t *Tracker) RecordFailureReport(now time.Time, id, node string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.state(id, now)
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -75,12 +75,12 @@
 	heads := []*fleet.Endpoint{head("one", "a", "large")}
 	tracker := balance.NewTracker()
 	shunned := func(at time.Time) bool { return len(tracker.Shunned(at, heads)) == 1 }
-	tracker.Complain(start, "one", "n2")
-	tracker.Complain(start.Add(10*time.Millisecond), "one", "n2")
+	tracker.RecordFailureReport(start, "one", "n2")
+	tracker.RecordFailureReport(start.Add(10*time.Millisecond), "one", "n2")
 	require.False(t, shunned(start.Add(20*time.Millisecond)))
-	tracker.Complain(start.Add(2*time.Second), "one", "n3")
+	tracker.RecordFailureReport(start.Add(2*time.Second), "one", "n3")
 	require.False(t, shunned(start.Add(2*time.Second)), "the first complaint is old by now")
-	tracker.Complain(start.Add(2100*time.Millisecond), "one", "n2")
+	tracker.RecordFailureReport(start.Add(2100*time.Millisecond), "one", "n2")
 	require.True(t, shunned(start.Add(2110*time.Millisecond)))
 	require.False(t, shunned(start.Add(3*time.Second)), "it is tried again")
 }
--- a/node/placement.go
+++ b/node/placement.go
@@ -92,7 +92,7 @@
 	}
 	for _, id := range request.Shunned {
 		tried[id] = true
-		n.tracker.Complain(now, id, request.Node)
+		n.tracker.RecordFailureReport(now, id, request.Node)
 	}
 	heads := view.Heads(request.Service, request.Model)
 	ask := balance.Request{
