--- a/balance/complaints.go
+++ b/balance/complaints.go
@@ -38,8 +38,8 @@
 	s.backOff(now)
 }
 
-// Shunned returns the endpoints among some that this node leaves alone.
-func (t *Tracker) Shunned(now time.Time, endpoints []*fleet.Endpoint) []string {
+// BackedOff returns the endpoints among some that this node leaves alone.
+func (t *Tracker) BackedOff(now time.Time, endpoints []*fleet.Endpoint) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var shunned []string
