--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -181,7 +181,7 @@
 type Snapshot struct {
 	Own, Running, Unread int
 	Slow                 float64
-	Shunned              bool
+	BackedOff            bool
 }
 
 // Snapshot returns what is known of an endpoint.
@@ -189,7 +189,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.state(e.ID, now)
-	return Snapshot{Own: s.own, Running: s.running(now), Unread: s.unread, Slow: s.slowdown, Shunned: now.Before(s.backoffUntil)}
+	return Snapshot{Own: s.own, Running: s.running(now), Unread: s.unread, Slow: s.slowdown, BackedOff: now.Before(s.backoffUntil)}
 }
 
 // slowFactor is how many times slower than declared a group must work, as
