--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -121,7 +121,7 @@
 	choice, none := tracker.ChooseGroup(start, []*fleet.Endpoint{e}, nil, ask())
 	require.Nil(t, none)
 	choice.Attempt.Cancel()
-	require.Equal(t, balance.Snapshot{Slow: 1}, tracker.Snapshot(start, e))
+	require.Equal(t, balance.Snapshot{Slowdown: 1}, tracker.Snapshot(start, e))
 	require.Zero(t, choice.Attempt.TimeWithoutEvent(start.Add(time.Second)))
 }
 
--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -180,7 +180,7 @@
 // Snapshot is what the tracker thinks of one endpoint, for logs.
 type Snapshot struct {
 	Own, Running, Unread int
-	Slow                 float64
+	Slowdown             float64
 	BackedOff            bool
 }
 
@@ -189,7 +189,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.state(e.ID, now)
-	return Snapshot{Own: s.own, Running: s.running(now), Unread: s.unread, Slow: s.slowdown, BackedOff: now.Before(s.backoffUntil)}
+	return Snapshot{Own: s.own, Running: s.running(now), Unread: s.unread, Slowdown: s.slowdown, BackedOff: now.Before(s.backoffUntil)}
 }
 
 // slowFactor is how many times slower than declared a group must work, as
