--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -206,12 +206,12 @@
 func TestUnreachableIsShunnedAndTriedAgain(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("only", "a", "large")}
-	tracker.Unreachable(start, "only")
+	tracker.MarkUnreachable(start, "only")
 	_, none := tracker.ChooseGroup(start.Add(100*time.Millisecond), all, nil, ask())
 	require.NotNil(t, none)
 	_, none = tracker.ChooseGroup(start.Add(500*time.Millisecond), all, nil, ask())
 	require.Nil(t, none)
-	tracker.Unreachable(start.Add(600*time.Millisecond), "only")
+	tracker.MarkUnreachable(start.Add(600*time.Millisecond), "only")
 	_, none = tracker.ChooseGroup(start.Add(1100*time.Millisecond), all, nil, ask())
 	require.NotNil(t, none, "the pause grows")
 }
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -154,8 +154,8 @@
 	require.Equal(t, balance.Overloaded, full.Reason)
 
 	silent := balance.NewTracker()
-	silent.Unreachable(start, "one")
-	silent.Unreachable(start, "two")
+	silent.MarkUnreachable(start, "one")
+	silent.MarkUnreachable(start, "two")
 	unreachable := refusal(silent, heads, ask())
 	require.Equal(t, balance.Unreachable, unreachable.Reason)
 
--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -150,9 +150,9 @@
 	return now.Sub(newest)
 }
 
-// Unreachable notes that an endpoint didn't take a connection, or that nothing
+// MarkUnreachable notes that an endpoint didn't take a connection, or that nothing
 // moves there: it gets no request for a while.
-func (t *Tracker) Unreachable(now time.Time, id string) {
+func (t *Tracker) MarkUnreachable(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state(id, now).backOff(now)
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -177,7 +177,7 @@
 	}
 	choice.Attempt.Done(now, !last.notRun && last.answer.Status < http.StatusInternalServerError)
 	if last.answer.Status == http.StatusMisdirectedRequest {
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	}
 	klog.InfoS("answered", "request", c.r.Ask.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "status", last.answer.Status,
 		"not_run", last.notRun, "running", choice.Running, "load_age", choice.Age, "attempts", c.sent, "took", now.Sub(c.r.Arrived),
@@ -199,7 +199,7 @@
 	choice.Attempt.Done(now, false)
 	if redwinghall.KindOf[Kind](err) == NotSent {
 		c.dials++
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	} else {
 		c.sent++
 	}
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -46,7 +46,7 @@
 	}
 	if !w.told {
 		w.told = true
-		w.call.g.Tracker.Unreachable(now, w.choice.Endpoint.ID)
+		w.call.g.Tracker.MarkUnreachable(now, w.choice.Endpoint.ID)
 		w.call.g.Stalled(w.choice.Endpoint.ID)
 	}
 	if w.call.mayMove(now) {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -131,13 +131,13 @@
 	choice.Attempt.Done(now, ok || (ctx.Err() != nil && !stalled.Load()))
 	switch {
 	case redwinghall.KindOf[Kind](last.err) == NotSent && ctx.Err() == nil:
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 		c.g.Stalled(choice.Endpoint.ID)
 	case last.notRun && c.r.Service.Engine != nil:
 		// Guard: while the store is away, a head whose group has closed looks open here,
 		// and emptier than all others. Streams would go there first, one after the
 		// other, and have no second try left.
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	}
 	if !ok {
 		klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
