--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -196,8 +196,8 @@
 // observed, to be worth a look at its members.
 const slowFactor = 2.5
 
-// Slow returns the endpoints that work much slower than they should.
-func (t *Tracker) Slow(now time.Time) []string {
+// SlowEndpoints returns the endpoints that work much slower than they should.
+func (t *Tracker) SlowEndpoints(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var slow []string
--- a/node/node.go
+++ b/node/node.go
@@ -136,7 +136,7 @@
 	n.startSharing(g)
 	n.startZoneSharing(g)
 	g.Every("slow_groups", slowInterval, func(_ context.Context, now time.Time) {
-		for _, id := range n.tracker.Slow(now) {
+		for _, id := range n.tracker.SlowEndpoints(now) {
 			n.suspect(id)
 		}
 	})
