--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -212,8 +212,8 @@
 // movesFor is how long after an event a group counts as moving.
 const movesFor = time.Second
 
-// Moves reports whether this node saw an event of an endpoint lately.
-func (t *Tracker) Moves(now time.Time, id string) bool {
+// Progressing reports whether this node saw an event of an endpoint lately.
+func (t *Tracker) Progressing(now time.Time, id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.states[id]
--- a/node/node.go
+++ b/node/node.go
@@ -89,7 +89,7 @@
 		HeldFrom: n.table.HeldFrom,
 		Settled:  n.table.Settled,
 		Begun:    func() bool { return n.gateway.Served() > 0 },
-		Moves:    n.tracker.Moves,
+		Moves:    n.tracker.Progressing,
 		Running:  n.tracker.Running,
 	})
 	n.gateway = gateway.New(gateway.Options{
