--- a/balance/load.go
+++ b/balance/load.go
@@ -60,9 +60,9 @@
 	return Load{Requests: n, Unstarted: n, Unread: int(others * r.tokens)}
 }
 
-// Own returns what this node has at each endpoint, and what it has promised
+// OwnLoads returns what this node has at each endpoint, and what it has promised
 // to others there.
-func (t *Tracker) Own(now time.Time) map[string]Load {
+func (t *Tracker) OwnLoads(now time.Time) map[string]Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	own := map[string]Load{}
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -136,7 +136,7 @@
 					if i == j {
 						continue
 					}
-					for id, load := range trackers[j].Own(now) {
+					for id, load := range trackers[j].OwnLoads(now) {
 						others[id] = others[id].With(load)
 					}
 				}
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -55,7 +55,7 @@
 	first, second := choose(), choose()
 	tell := func() int {
 		settled := node.Tickets.Settled()
-		dispatcher.SetOthers(start, node.Own(start))
+		dispatcher.SetOthers(start, node.OwnLoads(start))
 		dispatcher.Settle("n2", settled)
 		return dispatcher.Snapshot(start, heads[0]).Running
 	}
@@ -100,7 +100,7 @@
 	}
 	first := taken(start)
 	require.Positive(t, first)
-	require.Equal(t, first, zone.Own(start)["one"].Requests, "the zone's other nodes hear of it")
+	require.Equal(t, first, zone.OwnLoads(start)["one"].Requests, "the zone's other nodes hear of it")
 	require.Zero(t, taken(start.Add(300*time.Millisecond)))
 	require.Equal(t, first, taken(start.Add(500*time.Millisecond)))
 }
