--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -180,7 +180,7 @@
 func TestLoadsOfZonesCount(t *testing.T) {
 	tracker := balance.NewTracker()
 	e := head("one", "a", "large")
-	tracker.SetOthers(start, map[string]balance.Load{"one": {Requests: 3}})
+	tracker.SetOwnZoneLoads(start, map[string]balance.Load{"one": {Requests: 3}})
 	tracker.SetZones(start, map[string]balance.Load{"one": {Requests: 4}})
 	require.Equal(t, 7, tracker.Snapshot(start, e).Running)
 	require.Equal(t, 4, tracker.Snapshot(start.Add(time.Second), e).Running)
--- a/balance/load.go
+++ b/balance/load.go
@@ -75,8 +75,8 @@
 	return own
 }
 
-// SetOthers takes in what the other nodes of the zone have.
-func (t *Tracker) SetOthers(now time.Time, loads map[string]Load) {
+// SetOwnZoneLoads takes in what the other nodes of the zone have.
+func (t *Tracker) SetOwnZoneLoads(now time.Time, loads map[string]Load) {
 	t.setLoads(now, loads, func(s *State, load Load) { s.shared, s.sharedAt = load, now })
 }
 
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -140,7 +140,7 @@
 						others[id] = others[id].With(load)
 					}
 				}
-				trackers[i].SetOthers(now, others)
+				trackers[i].SetOwnZoneLoads(now, others)
 			}
 		},
 	}.run(groups)
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -55,7 +55,7 @@
 	first, second := choose(), choose()
 	tell := func() int {
 		settled := node.Tickets.Settled()
-		dispatcher.SetOthers(start, node.OwnLoads(start))
+		dispatcher.SetOwnZoneLoads(start, node.OwnLoads(start))
 		dispatcher.Settle("n2", settled)
 		return dispatcher.Snapshot(start, heads[0]).Running
 	}
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -125,10 +125,10 @@
 		return
 	}
 	p.told[node], p.toldAt[node] = own, p.now
-	p.trackers[node].SetOthers(p.now, p.others(node))
+	p.trackers[node].SetOwnZoneLoads(p.now, p.others(node))
 	if p.dispatched && node != 0 {
 		p.trackers[0].Settle(strconv.Itoa(node), below)
-		p.trackers[0].SetOthers(p.now, p.others(0))
+		p.trackers[0].SetOwnZoneLoads(p.now, p.others(0))
 	}
 }
 
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -105,7 +105,7 @@
 	n.tracker.LearnLimits(heard, shared.Limits)
 	if word.WithOthers {
 		s.heardOthers = now
-		n.tracker.SetOthers(heard, shared.Others)
+		n.tracker.SetOwnZoneLoads(heard, shared.Others)
 	}
 	if word.WithZones {
 		s.heardZones = now
