--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -181,11 +181,11 @@
 	tracker := balance.NewTracker()
 	e := head("one", "a", "large")
 	tracker.SetOwnZoneLoads(start, map[string]balance.Load{"one": {Requests: 3}})
-	tracker.SetZones(start, map[string]balance.Load{"one": {Requests: 4}})
+	tracker.SetOtherZoneLoads(start, map[string]balance.Load{"one": {Requests: 4}})
 	require.Equal(t, 7, tracker.Snapshot(start, e).Running)
 	require.Equal(t, 4, tracker.Snapshot(start.Add(time.Second), e).Running)
 	require.Zero(t, tracker.Snapshot(start.Add(2*time.Second), e).Running)
-	tracker.SetZones(start, nil)
+	tracker.SetOtherZoneLoads(start, nil)
 	require.Equal(t, 3, tracker.Snapshot(start, e).Running, "a group that nobody names is empty")
 }
 
--- a/balance/load.go
+++ b/balance/load.go
@@ -80,8 +80,8 @@
 	t.setLoads(now, loads, func(s *State, load Load) { s.shared, s.sharedAt = load, now })
 }
 
-// SetZones takes in what the nodes of the other zones have.
-func (t *Tracker) SetZones(now time.Time, loads map[string]Load) {
+// SetOtherZoneLoads takes in what the nodes of the other zones have.
+func (t *Tracker) SetOtherZoneLoads(now time.Time, loads map[string]Load) {
 	t.setLoads(now, loads, func(s *State, load Load) { s.zones, s.zonesAt = load, now })
 }
 
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -170,7 +170,7 @@
 func TestElsewhereNamesZonesWithRoom(t *testing.T) {
 	heads := []*fleet.Endpoint{head("own", "a", "large"), head("b", "b", "large"), head("c", "c", "large")}
 	tracker := balance.NewTracker()
-	tracker.SetZones(start, map[string]balance.Load{"b": {Requests: 1}})
+	tracker.SetOtherZoneLoads(start, map[string]balance.Load{"b": {Requests: 1}})
 	named := map[string]int{}
 	for range 100 {
 		named[tracker.Elsewhere(start, heads, nil, ask())]++
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -62,5 +62,5 @@
 // takeBoard takes in what the board shows of others' loads.
 func (n *Node) takeBoard(now time.Time) {
 	n.tracker.SetOwnZoneLoads(now, n.board.Others(now, n.settings.Node))
-	n.tracker.SetZones(now, n.board.Zones(now))
+	n.tracker.SetOtherZoneLoads(now, n.board.Zones(now))
 }
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -109,6 +109,6 @@
 	}
 	if word.WithZones {
 		s.heardZones = now
-		n.tracker.SetZones(heard, shared.Zones)
+		n.tracker.SetOtherZoneLoads(heard, shared.Zones)
 	}
 }
