--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -196,11 +196,11 @@
 	all := []*fleet.Endpoint{head("far", "b", "large"), head("near", "a", "large")}
 	_, none := tracker.ChooseGroup(start, all, nil, ask())
 	require.Nil(t, none)
-	require.False(t, tracker.LooksFar(start))
+	require.False(t, tracker.ConsidersOtherZones(start))
 	_, none = tracker.ChooseGroup(start, all[:1], nil, ask())
 	require.Nil(t, none)
-	require.True(t, tracker.LooksFar(start.Add(time.Second)))
-	require.False(t, tracker.LooksFar(start.Add(time.Minute)))
+	require.True(t, tracker.ConsidersOtherZones(start.Add(time.Second)))
+	require.False(t, tracker.ConsidersOtherZones(start.Add(time.Minute)))
 }
 
 func TestUnreachableIsShunnedAndTriedAgain(t *testing.T) {
--- a/balance/load.go
+++ b/balance/load.go
@@ -85,8 +85,8 @@
 	t.setLoads(now, loads, func(s *State, load Load) { s.zones, s.zonesAt = load, now })
 }
 
-// LooksFar reports whether this node lately considered groups of other zones.
-func (t *Tracker) LooksFar(now time.Time) bool {
+// ConsidersOtherZones reports whether this node lately considered groups of other zones.
+func (t *Tracker) ConsidersOtherZones(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Sub(t.lookedFar) < farInterest
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -93,7 +93,7 @@
 	n := s.node
 	_, dispatched := n.dispatcher(now, n.settings.Zone)
 	word.WithOthers = !dispatched || now.Sub(s.heardOthers) >= hearOthers
-	word.WithZones = n.tracker.LooksFar(now) && now.Sub(s.heardZones) >= hearZones
+	word.WithZones = n.tracker.ConsidersOtherZones(now) && now.Sub(s.heardZones) >= hearZones
 	word.WithLimits = peer.Name != s.limitsOf
 	shared, err := n.neighbors.Share(ctx, peer.Address, word)
 	if err != nil {
