--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -59,12 +59,12 @@
 	}, nil
 }
 
-// Elsewhere returns another zone that may serve a stream in time, as far as this
+// OtherZoneWithRoom returns another zone that may serve a stream in time, as far as this
 // node knows, "" if none has room.
 //
 // Gain: when all zones are full, each stream would ask every one of them before it is
 // refused. Those bytes cost, and so do the answers.
-func (t *Tracker) Elsewhere(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request) string {
+func (t *Tracker) OtherZoneWithRoom(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ask.bias = t.bias
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -173,7 +173,7 @@
 	tracker.SetOtherZoneLoads(start, map[string]balance.Load{"b": {Requests: 1}})
 	named := map[string]int{}
 	for range 100 {
-		named[tracker.Elsewhere(start, heads, nil, ask())]++
+		named[tracker.OtherZoneWithRoom(start, heads, nil, ask())]++
 	}
 	require.Zero(t, named["a"])
 	require.Positive(t, named["b"])
