--- a/balance/places_test.go
+++ b/balance/places_test.go
@@ -36,7 +36,7 @@
 	}
 	busy := []*fleet.Endpoint{head("busy", "a", "small")}
 	refused := func(there int) *balance.Refusal {
-		tracker.Settle("n2", 2)
+		tracker.ReleaseReservations("n2", 2)
 		tracker.SetOwnZoneLoads(start, map[string]balance.Load{"busy": {Requests: there}})
 		_, none := tracker.Reserve(start, busy, nil, one, balance.Claimant{Node: "n2", Ticket: 1})
 		return none
--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -88,9 +88,9 @@
 	s.reserved = append(s.reserved, reservation{claimant: claimant, until: until, prompt: prompt})
 }
 
-// Settle ends the reservations of a node of this zone whose streams are in the
+// ReleaseReservations ends the reservations of a node of this zone whose streams are in the
 // loads that it told, which are those below a ticket.
-func (t *Tracker) Settle(node string, below uint64) {
+func (t *Tracker) ReleaseReservations(node string, below uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.states {
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -56,7 +56,7 @@
 	tell := func() int {
 		settled := node.Tickets.Settled()
 		dispatcher.SetOwnZoneLoads(start, node.OwnLoads(start))
-		dispatcher.Settle("n2", settled)
+		dispatcher.ReleaseReservations("n2", settled)
 		return dispatcher.Snapshot(start, heads[0]).Running
 	}
 	node.Tickets.Close(second)
@@ -64,7 +64,7 @@
 	node.Tickets.Close(first)
 	require.Equal(t, 2, tell())
 	other := choose()
-	dispatcher.Settle("n3", other+1)
+	dispatcher.ReleaseReservations("n3", other+1)
 	require.Equal(t, 3, dispatcher.Snapshot(start, heads[0]).Running, "another node's word settles nothing of this one's")
 	require.Equal(t, 2, dispatcher.Snapshot(start.Add(2*time.Second), heads[0]).Running+2, "a node that fell silent holds no places")
 }
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -127,7 +127,7 @@
 	p.told[node], p.toldAt[node] = own, p.now
 	p.trackers[node].SetOwnZoneLoads(p.now, p.others(node))
 	if p.dispatched && node != 0 {
-		p.trackers[0].Settle(strconv.Itoa(node), below)
+		p.trackers[0].ReleaseReservations(strconv.Itoa(node), below)
 		p.trackers[0].SetOwnZoneLoads(p.now, p.others(0))
 	}
 }
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -47,7 +47,7 @@
 
 // told takes in that a node of the zone has told its loads.
 func (n *Node) told(now time.Time, node string, settled uint64) {
-	n.tracker.Settle(node, settled)
+	n.tracker.ReleaseReservations(node, settled)
 	if n.gathers(now) {
 		n.takeBoard(now)
 	}
