--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -245,7 +245,7 @@
 	choice, none := dispatcher.Reserve(start, []*fleet.Endpoint{needy}, nil, ask, balance.Claimant{Node: "n1"})
 	require.Nil(t, none)
 	require.False(t, choice.Permitted)
-	require.False(t, tracker.Take(start, needy, ask, choice.Predicted).Permitted)
+	require.False(t, tracker.AcceptChoice(start, needy, ask, choice.Predicted).Permitted)
 }
 
 // A limit outlasts a while without requests, and not the endpoint that named it.
--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -118,8 +118,8 @@
 	return sum
 }
 
-// Take notes that a request goes to an endpoint that another node chose.
-func (t *Tracker) Take(now time.Time, e *fleet.Endpoint, ask Request, predicted time.Duration) Choice {
+// AcceptChoice notes that a request goes to an endpoint that another node chose.
+func (t *Tracker) AcceptChoice(now time.Time, e *fleet.Endpoint, ask Request, predicted time.Duration) Choice {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ask.bias = t.bias
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -49,7 +49,7 @@
 		ticket := node.Tickets.Open()
 		choice, none := dispatcher.Reserve(start, heads, nil, ask(), balance.Claimant{Node: "n2", Ticket: ticket})
 		require.Nil(t, none)
-		node.Take(start, choice.Endpoint, ask(), choice.Predicted)
+		node.AcceptChoice(start, choice.Endpoint, ask(), choice.Predicted)
 		return ticket
 	}
 	first, second := choose(), choose()
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -218,7 +218,7 @@
 				p.refuse(c, none)
 				return
 			}
-			p.send(c, p.trackers[node].Take(p.now, choice.Endpoint, p.ask(c.prompt), choice.Predicted))
+			p.send(c, p.trackers[node].AcceptChoice(p.now, choice.Endpoint, p.ask(c.prompt), choice.Predicted))
 		})
 	})
 }
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -67,7 +67,7 @@
 
 // taken returns the choice that another node made for the stream.
 func (c *streamCall) taken(now time.Time, placed *fleet.Endpoint, ask balance.Request, placement fleet.Placement) balance.Choice {
-	choice := c.g.Tracker.Take(now, placed, ask, placement.Predicted)
+	choice := c.g.Tracker.AcceptChoice(now, placed, ask, placement.Predicted)
 	return choice.WithPermit(choice.Permitted || placement.Permitted)
 }
 
@@ -93,7 +93,7 @@
 	for {
 		choice, none := c.g.Tracker.ChooseGroup(now, heads, view.ZonesOut, ask)
 		if none != nil && unanswered != nil {
-			return c.g.Tracker.Take(now, unanswered.Endpoint, ask, unanswered.Predicted), nil
+			return c.g.Tracker.AcceptChoice(now, unanswered.Endpoint, ask, unanswered.Predicted), nil
 		}
 		if none != nil || c.g.Placer == nil || choice.Endpoint.Zone == ask.Zone || choice.Endpoint.ColdAt(now) {
 			return choice, none
