--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -242,7 +242,7 @@
 	needy := head("needy", "a", "small")
 	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, PermitShare: 0.8}
 	tracker.LearnLimits(start, []balance.LimitWord{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
-	choice, none := dispatcher.Reserve(start, []*fleet.Endpoint{needy}, nil, ask, balance.Claimant{Node: "n1"})
+	choice, none := dispatcher.Reserve(start, []*fleet.Endpoint{needy}, nil, ask, balance.Requester{Node: "n1"})
 	require.Nil(t, none)
 	require.False(t, choice.Permitted)
 	require.False(t, tracker.AcceptChoice(start, needy, ask, choice.Predicted).Permitted)
@@ -264,13 +264,13 @@
 	heads := []*fleet.Endpoint{head("needy", "a", "small")}
 	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, PermitShare: 0.5}
 	tracker.LearnLimits(start, []balance.LimitWord{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
-	_, none := tracker.Reserve(start, heads, nil, ask, balance.Claimant{Node: "n1"})
+	_, none := tracker.Reserve(start, heads, nil, ask, balance.Requester{Node: "n1"})
 	require.Equal(t, balance.Limited, none.Reason)
 	require.Equal(t, 2*time.Second, none.RetryAfter)
 	now := start.Add(2 * time.Second)
-	choice, none := tracker.Reserve(now, heads, nil, ask, balance.Claimant{Node: "n1"})
+	choice, none := tracker.Reserve(now, heads, nil, ask, balance.Requester{Node: "n1"})
 	require.Nil(t, none)
 	require.True(t, choice.Permitted)
-	_, none = tracker.Reserve(now, heads, nil, ask, balance.Claimant{Node: "n2"})
+	_, none = tracker.Reserve(now, heads, nil, ask, balance.Requester{Node: "n2"})
 	require.Equal(t, balance.Limited, none.Reason)
 }
--- a/balance/places_test.go
+++ b/balance/places_test.go
@@ -38,7 +38,7 @@
 	refused := func(there int) *balance.Refusal {
 		tracker.ReleaseReservations("n2", 2)
 		tracker.SetOwnZoneLoads(start, map[string]balance.Load{"busy": {Requests: there}})
-		_, none := tracker.Reserve(start, busy, nil, one, balance.Claimant{Node: "n2", Ticket: 1})
+		_, none := tracker.Reserve(start, busy, nil, one, balance.Requester{Node: "n2", Ticket: 1})
 		return none
 	}
 	for there := range engine.Slots + 1 {
--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -15,8 +15,8 @@
 	reserveUnsettled = time.Second
 )
 
-// Claimant is the node that a reservation is for.
-type Claimant struct {
+// Requester is the node that a reservation is for.
+type Requester struct {
 	Node string
 	// Ticket numbers the node's own asks. It is 0 for a node of another zone,
 	// whose loads come as a part of its zone's sum.
@@ -25,7 +25,7 @@
 
 // reservation is a stream that another node sends to a group here.
 type reservation struct {
-	claimant Claimant
+	claimant Requester
 	until    time.Time
 	prompt   int
 }
@@ -38,7 +38,7 @@
 // the same group as the emptiest and choose it until they hear of each other:
 // its prompts wait for each other, its places run out, and first events come
 // late. Where one node chooses for all, it knows of each stream that it placed.
-func (t *Tracker) Reserve(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request, claimant Claimant) (Choice, *Refusal) {
+func (t *Tracker) Reserve(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request, claimant Requester) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ask.bias = t.bias
@@ -80,7 +80,7 @@
 	return best.endpoint.Zone
 }
 
-func (s *State) reserve(now time.Time, claimant Claimant, prompt int) {
+func (s *State) reserve(now time.Time, claimant Requester, prompt int) {
 	until := now.Add(reserveFor)
 	if claimant.Ticket > 0 {
 		until = now.Add(reserveUnsettled)
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -29,7 +29,7 @@
 		}
 		request := ask()
 		request.Zone, request.ZoneNodes = "b", nodes
-		if choice, none := zone.Reserve(start.Add(time.Duration(i)*time.Millisecond), heads, nil, request, balance.Claimant{}); none == nil {
+		if choice, none := zone.Reserve(start.Add(time.Duration(i)*time.Millisecond), heads, nil, request, balance.Requester{}); none == nil {
 			require.LessOrEqual(t, choice.Predicted, request.Objective)
 			reserved[choice.Endpoint.ID]++
 		}
@@ -47,7 +47,7 @@
 	dispatcher, node := balance.NewTracker(), balance.NewTracker()
 	choose := func() uint64 {
 		ticket := node.Tickets.Open()
-		choice, none := dispatcher.Reserve(start, heads, nil, ask(), balance.Claimant{Node: "n2", Ticket: ticket})
+		choice, none := dispatcher.Reserve(start, heads, nil, ask(), balance.Requester{Node: "n2", Ticket: ticket})
 		require.Nil(t, none)
 		node.AcceptChoice(start, choice.Endpoint, ask(), choice.Predicted)
 		return ticket
@@ -92,7 +92,7 @@
 	zone := balance.NewTracker()
 	taken := func(at time.Time) (n int) {
 		for {
-			if _, none := zone.Reserve(at, heads, nil, ask(), balance.Claimant{}); none != nil {
+			if _, none := zone.Reserve(at, heads, nil, ask(), balance.Requester{}); none != nil {
 				return n
 			}
 			n++
@@ -109,7 +109,7 @@
 func TestReserveOffersNoColdGroup(t *testing.T) {
 	cold := head("cold", "a", "large")
 	cold.Cold = 3 * time.Second
-	_, none := balance.NewTracker().Reserve(start, []*fleet.Endpoint{cold}, nil, ask(), balance.Claimant{})
+	_, none := balance.NewTracker().Reserve(start, []*fleet.Endpoint{cold}, nil, ask(), balance.Requester{})
 	require.NotNil(t, none)
 }
 
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -211,7 +211,7 @@
 	p.after(zoneHop, func() {
 		ask := p.ask(c.prompt)
 		ask.IsDispatcher = true
-		choice, none := p.trackers[0].Reserve(p.now, p.heads, nil, ask, balance.Claimant{Node: strconv.Itoa(node), Ticket: ticket})
+		choice, none := p.trackers[0].Reserve(p.now, p.heads, nil, ask, balance.Requester{Node: strconv.Itoa(node), Ticket: ticket})
 		p.after(zoneHop, func() {
 			defer p.tickets[node].Close(ticket)
 			if none != nil {
--- a/node/placement.go
+++ b/node/placement.go
@@ -100,7 +100,7 @@
 		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), IsDispatcher: n.dispatches(now), Resumed: request.GoesOn,
 		PermitShare: n.lenderShare(n.settings.Zone),
 	}
-	choice, none := n.tracker.Reserve(now, heads, view.ZonesOut, ask, balance.Claimant{Node: request.Node, Ticket: request.Ticket})
+	choice, none := n.tracker.Reserve(now, heads, view.ZonesOut, ask, balance.Requester{Node: request.Node, Ticket: request.Ticket})
 	if none == nil {
 		return fleet.Placement{Endpoint: choice.Endpoint.ID, Predicted: choice.Predicted, Permitted: choice.Permitted}, true
 	}
