--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -54,7 +54,7 @@
 	}
 	first, second := choose(), choose()
 	tell := func() int {
-		settled := node.Tickets.Settled()
+		settled := node.Tickets.LowestOpen()
 		dispatcher.SetOwnZoneLoads(start, node.OwnLoads(start))
 		dispatcher.ReleaseReservations("n2", settled)
 		return dispatcher.Snapshot(start, heads[0]).Running
--- a/balance/tickets.go
+++ b/balance/tickets.go
@@ -29,9 +29,9 @@
 	delete(t.open, ticket)
 }
 
-// Settled returns the lowest ticket that isn't closed. All streams of lower ones
+// LowestOpen returns the lowest ticket that isn't closed. All streams of lower ones
 // are in loads that are read after this call.
-func (t *Tickets) Settled() uint64 {
+func (t *Tickets) LowestOpen() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	lowest := t.last + 1
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -120,7 +120,7 @@
 // hears of each word at once.
 func (p *zonePlay) tell(node int) {
 	p.after(p.changedNews, func() { p.tell(node) })
-	below, own := p.tickets[node].Settled(), p.trackers[node].OwnLoads(p.now)
+	below, own := p.tickets[node].LowestOpen(), p.trackers[node].OwnLoads(p.now)
 	if p.now.Sub(p.toldAt[node]) < p.news && maps.Equal(own, p.told[node]) {
 		return
 	}
