--- a/balance/limit.go
+++ b/balance/limit.go
@@ -27,8 +27,8 @@
 	permitRetryMost  = 2 * time.Second
 )
 
-// LimitWord is what an endpoint said of its limit, as nodes tell it each other.
-type LimitWord struct {
+// LimitReport is what an endpoint said of its limit, as nodes tell it each other.
+type LimitReport struct {
 	Endpoint string
 	Limit    fleet.RateLimit
 	Age      time.Duration
@@ -122,7 +122,7 @@
 }
 
 // LearnLimits takes in what other nodes know of limits. The newest word counts.
-func (t *Tracker) LearnLimits(now time.Time, words []LimitWord) {
+func (t *Tracker) LearnLimits(now time.Time, words []LimitReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, word := range words {
@@ -131,7 +131,7 @@
 }
 
 // learnLimit is the same for one. The lock is held.
-func (t *Tracker) learnLimit(now time.Time, word LimitWord) {
+func (t *Tracker) learnLimit(now time.Time, word LimitReport) {
 	l := &t.state(word.Endpoint, now).limit
 	saidAt := now.Add(-word.Age)
 	newer := saidAt.Sub(l.saidAt)
@@ -143,27 +143,27 @@
 }
 
 // HeardLimits returns what endpoints lately said of their limits to this node itself.
-func (t *Tracker) HeardLimits(now time.Time) []LimitWord {
+func (t *Tracker) HeardLimits(now time.Time) []LimitReport {
 	return t.limitWords(now, func(l *limitState) bool { return now.Sub(l.heardAt) < limitNews })
 }
 
 // ChangedLimits returns the limits that lately changed, as far as this node knows.
-func (t *Tracker) ChangedLimits(now time.Time) []LimitWord {
+func (t *Tracker) ChangedLimits(now time.Time) []LimitReport {
 	return t.limitWords(now, func(l *limitState) bool { return now.Sub(l.changedAt) < limitNews })
 }
 
 // Limits returns all limits that hold.
-func (t *Tracker) Limits(now time.Time) []LimitWord {
+func (t *Tracker) Limits(now time.Time) []LimitReport {
 	return t.limitWords(now, func(l *limitState) bool { return l.limit.Named })
 }
 
-func (t *Tracker) limitWords(now time.Time, wanted func(*limitState) bool) []LimitWord {
+func (t *Tracker) limitWords(now time.Time, wanted func(*limitState) bool) []LimitReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.anyLimit {
 		return nil
 	}
-	var words []LimitWord
+	var words []LimitReport
 	for id, s := range t.states {
 		if !s.limit.saidAt.IsZero() && wanted(&s.limit) {
 			words = append(words, s.limit.word(now, id))
@@ -172,18 +172,18 @@
 	return words
 }
 
-func (l *limitState) word(now time.Time, id string) LimitWord {
-	return LimitWord{Endpoint: id, Limit: l.limit, Age: now.Sub(l.saidAt)}
+func (l *limitState) word(now time.Time, id string) LimitReport {
+	return LimitReport{Endpoint: id, Limit: l.limit, Age: now.Sub(l.saidAt)}
 }
 
 // Limit returns what is known of an endpoint's limit.
-func (t *Tracker) Limit(now time.Time, id string) LimitWord {
+func (t *Tracker) Limit(now time.Time, id string) LimitReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s, ok := t.states[id]; ok {
 		return s.limit.word(now, id)
 	}
-	return LimitWord{Endpoint: id}
+	return LimitReport{Endpoint: id}
 }
 
 // Permit is the answer to a node that wants to send a request to an endpoint with a limit.
@@ -192,12 +192,12 @@
 	// Wait is how long there will be none, if it isn't given.
 	Wait time.Duration
 	// Limit is what the one that lends knows of it.
-	Limit LimitWord
+	Limit LimitReport
 }
 
 // Lend gives a permit for one request to an endpoint, of which the asking node knows a
 // limit, out of this node's share.
-func (t *Tracker) Lend(now time.Time, known LimitWord, share float64) Permit {
+func (t *Tracker) Lend(now time.Time, known LimitReport, share float64) Permit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.learnLimit(now, known)
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -20,7 +20,7 @@
 // Lender gives permits for endpoints that named a limit.
 type Lender interface {
 	// Permit asks for one request to an endpoint. ok is false if nobody gave an answer.
-	Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (permit balance.Permit, ok bool)
+	Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitReport) (permit balance.Permit, ok bool)
 }
 
 // withinLimits makes a choice until one is found that its endpoint's limit allows for.
@@ -64,7 +64,7 @@
 	}
 	now := time.Now()
 	if ok {
-		g.Tracker.LearnLimits(now, []balance.LimitWord{permit.Limit})
+		g.Tracker.LearnLimits(now, []balance.LimitReport{permit.Limit})
 	}
 	if !permit.Given {
 		g.Tracker.NotPermitted(now, id, permit.Wait)
--- a/neighbor/client.go
+++ b/neighbor/client.go
@@ -98,7 +98,7 @@
 type Shared struct {
 	Others map[string]balance.Load // of the other nodes of the zone, if it asked for them
 	Zones  map[string]balance.Load // of the other zones, if it asked for them
-	Limits []balance.LimitWord     // that changed lately, or all if it asked for them
+	Limits []balance.LimitReport   // that changed lately, or all if it asked for them
 }
 
 // Word is what a node tells of its loads.
@@ -111,7 +111,7 @@
 	// those of the other zones.
 	WithOthers, WithZones bool
 	// Limits are what endpoints lately said of their limits to the node itself.
-	Limits []balance.LimitWord
+	Limits []balance.LimitReport
 	// WithLimits asks for all limits that hold, and not only for those that changed.
 	WithLimits bool
 }
@@ -132,7 +132,7 @@
 
 // ShareZone tells a node of another zone what the nodes of this zone have, and which
 // limits changed lately.
-func (c *Client) ShareZone(ctx context.Context, address, zone string, loads map[string]balance.Load, limits []balance.LimitWord) error {
+func (c *Client) ShareZone(ctx context.Context, address, zone string, loads map[string]balance.Load, limits []balance.LimitReport) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := c.clientOf(address).Share(ctx, &rpc.ShareRequest{
@@ -164,7 +164,7 @@
 
 // Permit asks a node for one request to an endpoint of a zone. A caller waits meanwhile,
 // as for Reserve.
-func (c *Client) Permit(ctx context.Context, address, zone string, known balance.LimitWord) (balance.Permit, error) {
+func (c *Client) Permit(ctx context.Context, address, zone string, known balance.LimitReport) (balance.Permit, error) {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	out, err := c.clientOf(address).Permit(ctx, &rpc.PermitRequest{Zone: zone, Limit: encodeLimit(known)})
--- a/neighbor/encode.go
+++ b/neighbor/encode.go
@@ -85,18 +85,18 @@
 	return out
 }
 
-func encodeLimit(word balance.LimitWord) *rpc.Limit {
+func encodeLimit(word balance.LimitReport) *rpc.Limit {
 	return &rpc.Limit{Endpoint: word.Endpoint, Named: word.Limit.Named, PerSecond: word.Limit.PerSecond, AgeUs: word.Age.Microseconds()}
 }
 
-func decodeLimit(in *rpc.Limit) balance.LimitWord {
-	return balance.LimitWord{
+func decodeLimit(in *rpc.Limit) balance.LimitReport {
+	return balance.LimitReport{
 		Endpoint: in.GetEndpoint(), Limit: fleet.RateLimit{Named: in.GetNamed(), PerSecond: in.GetPerSecond()},
 		Age: time.Duration(in.GetAgeUs()) * time.Microsecond,
 	}
 }
 
-func encodeLimits(words []balance.LimitWord) []*rpc.Limit {
+func encodeLimits(words []balance.LimitReport) []*rpc.Limit {
 	out := make([]*rpc.Limit, 0, len(words))
 	for _, word := range words {
 		out = append(out, encodeLimit(word))
@@ -104,8 +104,8 @@
 	return out
 }
 
-func decodeLimits(limits []*rpc.Limit) []balance.LimitWord {
-	out := make([]balance.LimitWord, 0, len(limits))
+func decodeLimits(limits []*rpc.Limit) []balance.LimitReport {
+	out := make([]balance.LimitReport, 0, len(limits))
 	for _, limit := range limits {
 		out = append(out, decodeLimit(limit))
 	}
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -43,7 +43,7 @@
 			return fleet.Placement{Endpoint: "e1", Predicted: 123 * time.Millisecond, Elsewhere: "b", Permitted: true, LimitedFor: 70 * time.Millisecond}, !o.ignorant
 		},
 		Limits: o.limits,
-		Permit: func(now time.Time, zone string, known balance.LimitWord) balance.Permit {
+		Permit: func(now time.Time, zone string, known balance.LimitReport) balance.Permit {
 			return o.limits.Lend(now, known, balance.LenderShare(len(zone)))
 		},
 		Commit: func(_ context.Context, txn fleet.Txn) (fleet.Position, error) {
@@ -143,23 +143,23 @@
 func TestLimitsTravel(t *testing.T) {
 	o, client, address := serve(t)
 	ctx := context.Background()
-	two := balance.LimitWord{Endpoint: "e1", Limit: fleet.RateLimit{Named: true, PerSecond: 2}, Age: 10 * time.Millisecond}
-	shared, err := client.Share(ctx, address, neighbor.Word{Node: "n1", Limits: []balance.LimitWord{two}})
+	two := balance.LimitReport{Endpoint: "e1", Limit: fleet.RateLimit{Named: true, PerSecond: 2}, Age: 10 * time.Millisecond}
+	shared, err := client.Share(ctx, address, neighbor.Word{Node: "n1", Limits: []balance.LimitReport{two}})
 	require.NoError(t, err)
 	require.Len(t, shared.Limits, 1)
 	require.Equal(t, two.Limit, shared.Limits[0].Limit)
 	require.GreaterOrEqual(t, shared.Limits[0].Age, two.Age)
-	one := balance.LimitWord{Endpoint: "e2", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}
-	require.NoError(t, client.ShareZone(ctx, address, "zone-b", nil, []balance.LimitWord{one}))
+	one := balance.LimitReport{Endpoint: "e2", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}
+	require.NoError(t, client.ShareZone(ctx, address, "zone-b", nil, []balance.LimitReport{one}))
 	shared, err = client.Share(ctx, address, neighbor.Word{Node: "n2", WithLimits: true})
 	require.NoError(t, err)
 	require.Len(t, shared.Limits, 2)
-	permit, err := client.Permit(ctx, address, "b", balance.LimitWord{Endpoint: "e1", Limit: one.Limit, Age: time.Minute})
+	permit, err := client.Permit(ctx, address, "b", balance.LimitReport{Endpoint: "e1", Limit: one.Limit, Age: time.Minute})
 	require.NoError(t, err)
 	require.False(t, permit.Given, "none is saved up when a limit begins")
 	require.Positive(t, permit.Wait)
 	require.Equal(t, two.Limit, permit.Limit.Limit, "the newest word counts")
-	permit, err = client.Permit(ctx, address, "b", balance.LimitWord{Endpoint: "free"})
+	permit, err = client.Permit(ctx, address, "b", balance.LimitReport{Endpoint: "free"})
 	require.NoError(t, err)
 	require.True(t, permit.Given)
 	require.Len(t, o.limits.Limits(time.Now()), 2)
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -31,7 +31,7 @@
 	// Limits are what this node knows of the endpoints' limits.
 	Limits *balance.Tracker
 	// Permit gives a permit for one request to an endpoint of a zone.
-	Permit func(now time.Time, zone string, known balance.LimitWord) balance.Permit
+	Permit func(now time.Time, zone string, known balance.LimitReport) balance.Permit
 	// Commit carries out a transaction at the store itself.
 	Commit func(ctx context.Context, txn fleet.Txn) (fleet.Position, error)
 }
--- a/node/permit.go
+++ b/node/permit.go
@@ -19,7 +19,7 @@
 
 // Permit implements gateway.Lender. The first node of the endpoint's zone that gives
 // answers lends. Who can't ask it sends nothing there.
-func (l lender) Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (balance.Permit, bool) {
+func (l lender) Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitReport) (balance.Permit, bool) {
 	n := l.node
 	peer, ok := n.avoided.First(time.Now(), n.lenders(e.Zone))
 	switch {
@@ -43,7 +43,7 @@
 //
 // Guard: a node that has just started knows no other one and would take itself for the
 // first. After a start of all nodes each of them would lend the whole limit.
-func (n *Node) lend(now time.Time, zone string, known balance.LimitWord) balance.Permit {
+func (n *Node) lend(now time.Time, zone string, known balance.LimitReport) balance.Permit {
 	share := n.lenderShare(zone)
 	if share == 0 {
 		klog.InfoS("not_lent", "endpoint", known.Endpoint, "zone", zone)
