--- a/balance/limit.go
+++ b/balance/limit.go
@@ -46,13 +46,13 @@
 	refusedUntil time.Time
 }
 
-// LenderShare returns the part of an endpoint's limit that a node lends, by its place
+// PermitShare returns the part of an endpoint's limit that a node lends, by its place
 // among those that may: 0 is the first.
 //
 // Guard: nodes that don't see each other may each take themselves, or another one, for
 // the one that lends. The shares of all places add up to one, so the endpoint gets no
 // more than its limit whomever they ask.
-func LenderShare(place int) float64 {
+func PermitShare(place int) float64 {
 	share := firstLenderShare
 	for range place {
 		share *= 1 - firstLenderShare
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -107,7 +107,7 @@
 		if p.lenders != nil {
 			place = p.lenders(node, at)
 		}
-		permit := p.trackers[place].Lend(now, t.Limit(now, "needy"), balance.LenderShare(place))
+		permit := p.trackers[place].Lend(now, t.Limit(now, "needy"), balance.PermitShare(place))
 		if !permit.Given {
 			t.NotPermitted(now, "needy", permit.Wait)
 			choice.Attempt.Cancel()
@@ -170,7 +170,7 @@
 	const rounding = 1e-9
 	sum := 0.0
 	for place := range 50 {
-		sum += balance.LenderShare(place)
+		sum += balance.PermitShare(place)
 		require.LessOrEqual(t, sum, 1+rounding)
 	}
 }
--- a/node/permit.go
+++ b/node/permit.go
@@ -69,7 +69,7 @@
 	}
 	for place, one := range n.lenders(zone) {
 		if one.Name == n.settings.Node {
-			return balance.LenderShare(place)
+			return balance.PermitShare(place)
 		}
 	}
 	return 0
