--- a/balance/limit.go
+++ b/balance/limit.go
@@ -195,9 +195,9 @@
 	Limit LimitReport
 }
 
-// Lend gives a permit for one request to an endpoint, of which the asking node knows a
+// GrantPermit gives a permit for one request to an endpoint, of which the asking node knows a
 // limit, out of this node's share.
-func (t *Tracker) Lend(now time.Time, known LimitReport, share float64) Permit {
+func (t *Tracker) GrantPermit(now time.Time, known LimitReport, share float64) Permit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.learnLimit(now, known)
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -107,7 +107,7 @@
 		if p.lenders != nil {
 			place = p.lenders(node, at)
 		}
-		permit := p.trackers[place].Lend(now, t.Limit(now, "needy"), balance.PermitShare(place))
+		permit := p.trackers[place].GrantPermit(now, t.Limit(now, "needy"), balance.PermitShare(place))
 		if !permit.Given {
 			t.NotPermitted(now, "needy", permit.Wait)
 			choice.Attempt.Cancel()
