--- a/balance/limit.go
+++ b/balance/limit.go
@@ -121,8 +121,8 @@
 	return before, l.set(now, now, limit)
 }
 
-// LearnLimits takes in what other nodes know of limits. The newest word counts.
-func (t *Tracker) LearnLimits(now time.Time, words []LimitReport) {
+// MergeLimits takes in what other nodes know of limits. The newest word counts.
+func (t *Tracker) MergeLimits(now time.Time, words []LimitReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, word := range words {
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -65,7 +65,7 @@
 	for at := time.Duration(0); at < limitPlayLength; at += step {
 		if p.restarts > 0 && at >= p.restarts && at < p.restarts+step {
 			p.trackers[0] = balance.NewTracker()
-			p.trackers[0].LearnLimits(start.Add(at), p.trackers[1].Limits(start.Add(at)))
+			p.trackers[0].MergeLimits(start.Add(at), p.trackers[1].Limits(start.Add(at)))
 		}
 		for len(answers) > 0 && answers[0].at <= at {
 			limit := fleet.RateLimit{}
@@ -90,8 +90,8 @@
 
 // tell hands what a node heard to the first one, and gives it what is new there.
 func (p *limitPlay) tell(node int, now time.Time) {
-	p.trackers[0].LearnLimits(now, p.trackers[node].HeardLimits(now))
-	p.trackers[node].LearnLimits(now, p.trackers[0].ChangedLimits(now))
+	p.trackers[0].MergeLimits(now, p.trackers[node].HeardLimits(now))
+	p.trackers[node].MergeLimits(now, p.trackers[0].ChangedLimits(now))
 }
 
 // request lets a node send a request to the endpoint with the limit, unless it isn't permitted.
@@ -209,18 +209,18 @@
 func TestNewestWordOfALimitCounts(t *testing.T) {
 	tracker := balance.NewTracker()
 	one, two := fleet.RateLimit{Named: true, PerSecond: 1}, fleet.RateLimit{Named: true, PerSecond: 2}
-	tracker.LearnLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: one, Age: time.Second}})
-	tracker.LearnLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: two, Age: 2 * time.Second}})
+	tracker.MergeLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: one, Age: time.Second}})
+	tracker.MergeLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: two, Age: 2 * time.Second}})
 	require.Equal(t, one, tracker.Limit(start, "needy").Limit)
 	now := start
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
 		word := tracker.Limit(now, "needy")
 		word.Age -= 5 * time.Millisecond
-		tracker.LearnLimits(now, []balance.LimitReport{word})
+		tracker.MergeLimits(now, []balance.LimitReport{word})
 	}
 	require.GreaterOrEqual(t, tracker.Limit(now, "needy").Age, 2*time.Second)
-	tracker.LearnLimits(now, []balance.LimitReport{{Endpoint: "needy", Age: time.Millisecond}})
+	tracker.MergeLimits(now, []balance.LimitReport{{Endpoint: "needy", Age: time.Millisecond}})
 	require.False(t, tracker.Limit(now, "needy").Limit.Named)
 }
 
@@ -231,7 +231,7 @@
 	heads := []*fleet.Endpoint{head("needy", "a", "small")}
 	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second}
 	require.True(t, tracker.HasAlternative(start, heads, nil, ask))
-	tracker.LearnLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 2}}})
+	tracker.MergeLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 2}}})
 	require.False(t, tracker.HasAlternative(start, heads, nil, ask))
 }
 
@@ -241,7 +241,7 @@
 	dispatcher, tracker := balance.NewTracker(), balance.NewTracker()
 	needy := head("needy", "a", "small")
 	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, PermitShare: 0.8}
-	tracker.LearnLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
+	tracker.MergeLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
 	choice, none := dispatcher.Reserve(start, []*fleet.Endpoint{needy}, nil, ask, balance.Requester{Node: "n1"})
 	require.Nil(t, none)
 	require.False(t, choice.Permitted)
@@ -251,7 +251,7 @@
 // A limit outlasts a while without requests, and not the endpoint that named it.
 func TestLimitIsForgottenInTheEnd(t *testing.T) {
 	tracker := balance.NewTracker()
-	tracker.LearnLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
+	tracker.MergeLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
 	tracker.Forget(start.Add(time.Minute))
 	require.Len(t, tracker.Limits(start), 1)
 	tracker.Forget(start.Add(time.Hour))
@@ -263,7 +263,7 @@
 	tracker := balance.NewTracker()
 	heads := []*fleet.Endpoint{head("needy", "a", "small")}
 	ask := balance.Request{Service: fleet.Service{Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Objective: time.Second, PermitShare: 0.5}
-	tracker.LearnLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
+	tracker.MergeLimits(start, []balance.LimitReport{{Endpoint: "needy", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}})
 	_, none := tracker.Reserve(start, heads, nil, ask, balance.Requester{Node: "n1"})
 	require.Equal(t, balance.Limited, none.Reason)
 	require.Equal(t, 2*time.Second, none.RetryAfter)
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -64,7 +64,7 @@
 	}
 	now := time.Now()
 	if ok {
-		g.Tracker.LearnLimits(now, []balance.LimitReport{permit.Limit})
+		g.Tracker.MergeLimits(now, []balance.LimitReport{permit.Limit})
 	}
 	if !permit.Given {
 		g.Tracker.NotPermitted(now, id, permit.Wait)
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -72,7 +72,7 @@
 // Share implements rpc.Neighbor.
 func (s *Server) Share(_ context.Context, in *rpc.ShareRequest) (*rpc.ShareResponse, error) {
 	now := time.Now()
-	s.parts.Limits.LearnLimits(now, decodeLimits(in.GetLimits()))
+	s.parts.Limits.MergeLimits(now, decodeLimits(in.GetLimits()))
 	if in.GetZone() {
 		s.parts.Board.PutZone(now, in.GetNode(), decodeLoads(in.GetLoads()))
 		return &rpc.ShareResponse{}, nil
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -102,7 +102,7 @@
 	}
 	heard := time.Now()
 	s.limitsOf = peer.Name
-	n.tracker.LearnLimits(heard, shared.Limits)
+	n.tracker.MergeLimits(heard, shared.Limits)
 	if word.WithOthers {
 		s.heardOthers = now
 		n.tracker.SetOwnZoneLoads(heard, shared.Others)
