--- a/balance/limit.go
+++ b/balance/limit.go
@@ -142,8 +142,8 @@
 	l.set(now, saidAt, word.Limit)
 }
 
-// HeardLimits returns what endpoints lately said of their limits to this node itself.
-func (t *Tracker) HeardLimits(now time.Time) []LimitReport {
+// OwnLimitReports returns what endpoints lately said of their limits to this node itself.
+func (t *Tracker) OwnLimitReports(now time.Time) []LimitReport {
 	return t.limitWords(now, func(l *limitState) bool { return now.Sub(l.heardAt) < limitNews })
 }
 
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -90,7 +90,7 @@
 
 // tell hands what a node heard to the first one, and gives it what is new there.
 func (p *limitPlay) tell(node int, now time.Time) {
-	p.trackers[0].MergeLimits(now, p.trackers[node].HeardLimits(now))
+	p.trackers[0].MergeLimits(now, p.trackers[node].OwnLimitReports(now))
 	p.trackers[node].MergeLimits(now, p.trackers[0].ChangedLimits(now))
 }
 
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -52,7 +52,7 @@
 	n := s.node
 	// Settled first: what is settled by then is in the loads.
 	word := neighbor.Word{
-		Node: n.settings.Node, Settled: n.tracker.Tickets.LowestOpen(), Loads: n.tracker.OwnLoads(now), Limits: n.tracker.HeardLimits(now),
+		Node: n.settings.Node, Settled: n.tracker.Tickets.LowestOpen(), Loads: n.tracker.OwnLoads(now), Limits: n.tracker.OwnLimitReports(now),
 	}
 	if !s.due(now, word) {
 		return
