--- a/balance/limit.go
+++ b/balance/limit.go
@@ -206,9 +206,9 @@
 	return Permit{Given: given, Wait: wait, Limit: l.word(now, known.Endpoint)}
 }
 
-// NotPermitted notes that this node got no permit for an endpoint, so that it is left
+// RecordPermitDenied notes that this node got no permit for an endpoint, so that it is left
 // alone until there may be one.
-func (t *Tracker) NotPermitted(now time.Time, id string, wait time.Duration) {
+func (t *Tracker) RecordPermitDenied(now time.Time, id string, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state(id, now).limit.refusedUntil = now.Add(min(max(wait, permitRetryLeast), permitRetryMost))
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -109,7 +109,7 @@
 		}
 		permit := p.trackers[place].GrantPermit(now, t.Limit(now, "needy"), balance.PermitShare(place))
 		if !permit.Given {
-			t.NotPermitted(now, "needy", permit.Wait)
+			t.RecordPermitDenied(now, "needy", permit.Wait)
 			choice.Attempt.Cancel()
 			return nil
 		}
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -67,7 +67,7 @@
 		g.Tracker.MergeLimits(now, []balance.LimitReport{permit.Limit})
 	}
 	if !permit.Given {
-		g.Tracker.NotPermitted(now, id, permit.Wait)
+		g.Tracker.RecordPermitDenied(now, id, permit.Wait)
 	}
 	return permit, ok
 }
