--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -259,7 +259,7 @@
 	now := start
 	retries := 0
 	for range 1000 {
-		budget.Request(now, "llm")
+		budget.RecordRequest(now, "llm")
 		if budget.Spend(now, "llm", 10) {
 			retries++
 		}
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -35,8 +35,8 @@
 	return &RetryBudget{ratio: ratio, window: max(window, time.Second), slices: map[string]*budgetWindow{}}
 }
 
-// Request counts a request for a service.
-func (b *RetryBudget) Request(now time.Time, service string) {
+// RecordRequest counts a request for a service.
+func (b *RetryBudget) RecordRequest(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.at(now, service)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -94,7 +94,7 @@
 	}
 	request.Body = body
 	request.view = g.Book.View() // a slow caller may have taken its time
-	g.budget.Request(now, request.Service.Name)
+	g.budget.RecordRequest(now, request.Service.Name)
 	ctx, cancel := context.WithDeadline(in.Context(), request.Deadline)
 	defer cancel()
 	if request.Route.Kind == fleet.Streaming {
