--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func ask() balance.Request {
+func newRequest() balance.Request {
 	return balance.Request{
 		Service: service(), Model: engine().Models[0], Zone: "a", Prompt: 1500, Objective: 400 * time.Millisecond,
 		Tried: map[string]bool{}, Nodes: 1, ZoneNodes: 1, Node: "n1", ColdRateOwnZone: 10, ColdRateOtherZones: 3,
@@ -45,33 +45,33 @@
 	member := head("member", "a", "large")
 	member.Member.Rank = 2
 	all := []*fleet.Endpoint{closing, drained, out, member, head("other", "a", "small")}
-	_, none := balance.NewTracker().ChooseGroup(start, all, map[string]bool{"b": true}, ask())
-	require.NotNil(t, none)
-	require.Equal(t, balance.NoEndpoint, none.Reason)
-	require.Positive(t, none.RetryAfter)
+	_, refusal := balance.NewTracker().ChooseGroup(start, all, map[string]bool{"b": true}, newRequest())
+	require.NotNil(t, refusal)
+	require.Equal(t, balance.NoEndpoint, refusal.Reason)
+	require.Positive(t, refusal.RetryAfter)
 }
 
 func TestGroupPrefersOwnZoneUntilItIsLate(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("far", "b", "large"), head("near", "a", "large")}
 	for range 5 {
-		choice, none := tracker.ChooseGroup(start, all, nil, ask())
-		require.Nil(t, none)
+		choice, refusal := tracker.ChooseGroup(start, all, nil, newRequest())
+		require.Nil(t, refusal)
 		require.Equal(t, "near", choice.Endpoint.ID)
 	}
 	far := 0
 	for range 12 {
-		choice, none := tracker.ChooseGroup(start, all, nil, ask())
-		if none == nil && choice.Endpoint.ID == "far" {
+		choice, refusal := tracker.ChooseGroup(start, all, nil, newRequest())
+		if refusal == nil && choice.Endpoint.ID == "far" {
 			far++
 		}
 	}
-	require.Positive(t, far, "the near group has more prompts to read than the objective allows")
+	require.Positive(t, far, "the group of the own zone has more prompts to read than the objective allows")
 }
 
-// Callers wait for seconds and get late answers, although they could have gone
-// elsewhere: a request that can't be in time is refused at once, with a time to
-// come back.
+// A request that can't be served in time has to be refused at once, with a time to
+// retry. Otherwise callers wait for seconds and get late answers, although they
+// could have tried elsewhere.
 func TestGroupRefusesWhatWouldBeLate(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("only", "a", "large")}
@@ -79,7 +79,7 @@
 	var refusal *balance.Refusal
 	for refusal == nil {
 		var choice balance.Choice
-		choice, refusal = tracker.ChooseGroup(start, all, nil, ask())
+		choice, refusal = tracker.ChooseGroup(start, all, nil, newRequest())
 		if refusal == nil {
 			taken++
 			require.LessOrEqual(t, choice.Predicted, 440*time.Millisecond)
@@ -91,27 +91,27 @@
 	require.GreaterOrEqual(t, refusal.RetryAfter, 300*time.Millisecond)
 }
 
-// A stream whose group stands still is taken from there, and then refused,
-// because it will be late: its caller sees it break off. It goes on all the same.
-func TestStreamThatGoesOnIsNotRefused(t *testing.T) {
+// A stream that is moved away from a stalled group must not be refused for being
+// late: its caller would see it break off.
+func TestResumedStreamIsNotRefused(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("only", "a", "large")}
 	for {
-		if _, none := tracker.ChooseGroup(start, all, nil, ask()); none != nil {
+		if _, refusal := tracker.ChooseGroup(start, all, nil, newRequest()); refusal != nil {
 			break
 		}
 	}
-	moved := ask()
+	moved := newRequest()
 	moved.Resumed = true
-	_, none := tracker.ChooseGroup(start, all, nil, moved)
-	require.Nil(t, none)
+	_, refusal := tracker.ChooseGroup(start, all, nil, moved)
+	require.Nil(t, refusal)
 }
 
-// A cold endpoint falls over: all nodes see it appear at the same moment and
-// each sends what it could bear alone. Together, the nodes' parts stay below
-// what it bears in any second, however many nodes there are.
-func TestColdEndpointGetsNoMoreThanItBears(t *testing.T) {
-	const bears = 36*1.5 + 5
+// Guards against overload of a cold endpoint: all nodes see it appear at the same
+// time, and each sends as much as it could handle from one node. The sum over all
+// nodes has to stay within its rate in any second, for any number of nodes.
+func TestColdEndpointStaysWithinItsRate(t *testing.T) {
+	const perSecond = 36*1.5 + 5
 	for _, nodes := range []int{6, 30, 82, 360} {
 		t.Run(strconv.Itoa(nodes), func(t *testing.T) {
 			cold := head("cold", "a", "large")
@@ -121,27 +121,27 @@
 			for i := range nodes {
 				tracker := balance.NewTracker()
 				for ms := range 2000 {
-					a := ask()
+					a := newRequest()
 					a.Service.ColdPerSecond, a.Objective, a.Node = 36, time.Hour, strconv.Itoa(i)
-					a.ColdRateOwnZone, a.ColdRateOtherZones = 0.75*0.75*bears/float64(zone), 0.75*0.25*bears/float64(nodes-zone)
+					a.ColdRateOwnZone, a.ColdRateOtherZones = 0.75*0.75*perSecond/float64(zone), 0.75*0.25*perSecond/float64(nodes-zone)
 					if i >= zone {
 						a.Zone = "b"
 					}
 					at := time.Duration(ms) * time.Millisecond
-					if choice, none := tracker.ChooseGroup(start.Add(at), []*fleet.Endpoint{cold}, nil, a); none == nil {
+					if choice, refusal := tracker.ChooseGroup(start.Add(at), []*fleet.Endpoint{cold}, nil, a); refusal == nil {
 						sentAt = append(sentAt, at)
 						choice.Attempt.Done(start.Add(at), true)
 					}
 				}
 			}
-			require.LessOrEqual(t, float64(most(sentAt, time.Second)), bears)
+			require.LessOrEqual(t, float64(mostInWindow(sentAt, time.Second)), perSecond)
 			require.Greater(t, len(sentAt), 15)
 		})
 	}
 }
 
-// most returns the highest count in any window.
-func most(at []time.Duration, window time.Duration) int {
+// mostInWindow returns the highest number of entries of at within any window.
+func mostInWindow(at []time.Duration, window time.Duration) int {
 	sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
 	best, from := 0, 0
 	for to := range at {
@@ -153,10 +153,10 @@
 	return best
 }
 
-// All nodes see that a group has just opened, and each sends it what it could
-// bear alone, before any hears of the others: sixteen prompts come within a
-// tenth of a second, and all are late. What a node sent lately stands for what
-// the others sent meanwhile.
+// Guards against all nodes sending to a group that has just opened as much as it
+// could handle from one node, before they learn of each other's load: 16 prompts
+// came within 100 ms, and all were late. So a node assumes that the others
+// meanwhile sent as much as it did.
 func TestNodesDoNotRushToOneGroup(t *testing.T) {
 	const nodes = 6
 	opened := head("opened", "b", "large")
@@ -164,19 +164,19 @@
 	for range nodes {
 		tracker := balance.NewTracker()
 		for range 8 {
-			a := ask()
+			a := newRequest()
 			a.Nodes, a.ZoneNodes = nodes, 2
-			if _, none := tracker.ChooseGroup(start, []*fleet.Endpoint{opened}, nil, a); none == nil {
+			if _, refusal := tracker.ChooseGroup(start, []*fleet.Endpoint{opened}, nil, a); refusal == nil {
 				prompts++
 			}
 		}
 	}
-	// Without the estimate of what others sent it is 48 here.
+	// Without the estimate of the others' unshared load there are 48.
 	require.LessOrEqual(t, prompts, 3*nodes)
 }
 
-// A group of the zone is full of streams of other zones. What they have counts
-// beside what the zone's nodes have, for as long as it is fresh.
+// A group may be full of streams from other zones. Their load counts in addition to
+// that of the zone's nodes until it expires.
 func TestLoadsOfZonesCount(t *testing.T) {
 	tracker := balance.NewTracker()
 	e := head("one", "a", "large")
@@ -186,34 +186,34 @@
 	require.Equal(t, 4, tracker.Snapshot(start.Add(time.Second), e).Running)
 	require.Zero(t, tracker.Snapshot(start.Add(2*time.Second), e).Running)
 	tracker.SetOtherZoneLoads(start, nil)
-	require.Equal(t, 3, tracker.Snapshot(start, e).Running, "a group that nobody names is empty")
+	require.Equal(t, 3, tracker.Snapshot(start, e).Running, "a group that is in no shared load is empty")
 }
 
-// Nodes whose own zone serves all their callers are told of all others' loads,
-// again and again, and need none of it.
-func TestLooksFarOnlyWhenTheZoneIsLate(t *testing.T) {
+// A node whose own zone serves all its callers doesn't need the loads of other
+// zones and must not cause the traffic for them.
+func TestConsidersOtherZonesOnlyWhenOwnZoneIsLate(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("far", "b", "large"), head("near", "a", "large")}
-	_, none := tracker.ChooseGroup(start, all, nil, ask())
-	require.Nil(t, none)
+	_, refusal := tracker.ChooseGroup(start, all, nil, newRequest())
+	require.Nil(t, refusal)
 	require.False(t, tracker.ConsidersOtherZones(start))
-	_, none = tracker.ChooseGroup(start, all[:1], nil, ask())
-	require.Nil(t, none)
+	_, refusal = tracker.ChooseGroup(start, all[:1], nil, newRequest())
+	require.Nil(t, refusal)
 	require.True(t, tracker.ConsidersOtherZones(start.Add(time.Second)))
 	require.False(t, tracker.ConsidersOtherZones(start.Add(time.Minute)))
 }
 
-func TestUnreachableIsShunnedAndTriedAgain(t *testing.T) {
+func TestUnreachableIsBackedOffAndRetried(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("only", "a", "large")}
 	tracker.MarkUnreachable(start, "only")
-	_, none := tracker.ChooseGroup(start.Add(100*time.Millisecond), all, nil, ask())
-	require.NotNil(t, none)
-	_, none = tracker.ChooseGroup(start.Add(500*time.Millisecond), all, nil, ask())
-	require.Nil(t, none)
+	_, refusal := tracker.ChooseGroup(start.Add(100*time.Millisecond), all, nil, newRequest())
+	require.NotNil(t, refusal)
+	_, refusal = tracker.ChooseGroup(start.Add(500*time.Millisecond), all, nil, newRequest())
+	require.Nil(t, refusal)
 	tracker.MarkUnreachable(start.Add(600*time.Millisecond), "only")
-	_, none = tracker.ChooseGroup(start.Add(1100*time.Millisecond), all, nil, ask())
-	require.NotNil(t, none, "the pause grows")
+	_, refusal = tracker.ChooseGroup(start.Add(1100*time.Millisecond), all, nil, newRequest())
+	require.NotNil(t, refusal, "the backoff grows")
 }
 
 func TestPlainAvoidsFailingEndpoints(t *testing.T) {
@@ -226,8 +226,8 @@
 	counts := map[string]int{}
 	now := start
 	for range 100 {
-		choice, none := tracker.ChoosePlain(now, all, nil, a)
-		require.Nil(t, none)
+		choice, refusal := tracker.ChoosePlain(now, all, nil, a)
+		require.Nil(t, refusal)
 		counts[choice.Endpoint.ID]++
 		now = now.Add(60 * time.Millisecond)
 		choice.Attempt.Done(now, choice.Endpoint.ID == "good")
@@ -235,25 +235,25 @@
 	require.Less(t, counts["bad"], 10)
 }
 
-// A plain service that answers by long streams is refused as overloaded,
-// because its streams last longer than the objective for the first event.
+// Long streams of a plain service last longer than the objective for the first
+// event. The service must not be taken for overloaded because of that.
 func TestLongStreamsOfAPlainServiceAreNoOverload(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{{ID: "feed", Service: "feed", Zone: "a", State: fleet.EndpointReady, Slots: 6}}
 	a := balance.Request{Service: fleet.Service{Name: "feed"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
 	now := start
 	for range 50 {
-		choice, none := tracker.ChoosePlain(now, all, nil, a)
-		require.Nil(t, none)
+		choice, refusal := tracker.ChoosePlain(now, all, nil, a)
+		require.Nil(t, refusal)
 		choice.Attempt.RecordEvent(now.Add(50*time.Millisecond), nil)
 		now = now.Add(5 * time.Second)
 		choice.Attempt.Done(now, true)
 	}
 }
 
-// A service fails, each request is sent a second time, and the doubled load
-// keeps it down. The budget bounds retries to a share of the requests, in any
-// window, and forgets what is past.
+// Guards against retry storms: a service fails, each request is sent a second time,
+// and the doubled load keeps the service down. The budget limits retries to a share
+// of the requests in any window.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	budget := balance.NewRetryBudget(0.2, 10*time.Second)
 	now := start
@@ -268,16 +268,16 @@
 	require.LessOrEqual(t, retries, 200+10)
 	require.Greater(t, retries, 140)
 	require.False(t, budget.Spend(now, "llm", 0))
-	require.True(t, budget.Spend(now.Add(time.Minute), "llm", 10), "an old window counts no more")
-	require.True(t, budget.Spend(now, "desk", 10), "each service has a budget of its own")
+	require.True(t, budget.Spend(now.Add(time.Minute), "llm", 10), "requests of an expired window don't count")
+	require.True(t, budget.Spend(now, "desk", 10), "each service has its own budget")
 }
 
-// One decision among the heads of one model: 70 endpoints are about 6 groups of
-// each of two models, 330 are 30. With all endpoints to look through it took
-// 4.8 us for 72 and 19.9 us for 360. With a candidate allocated for each it took 32
-// allocations and twice the time at 30 groups; now it takes 3.
+// BenchmarkGroup measures one choice among the heads of one model. 70 endpoints have
+// about 6 groups of each of two models, 330 have 30. Searching all endpoints instead
+// of the heads took 4.8 us for 72 and 19.9 us for 360. Allocating each candidate
+// took 32 allocations and twice the time at 30 groups; now there are 3 allocations.
 func BenchmarkGroup(b *testing.B) {
-	one := ask()
+	one := newRequest()
 	for _, groups := range []int{6, 30} {
 		b.Run(strconv.Itoa(groups)+"_groups", func(b *testing.B) {
 			tracker := balance.NewTracker()
@@ -287,8 +287,8 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				choice, none := tracker.ChooseGroup(start, all, nil, one)
-				if none == nil {
+				choice, refusal := tracker.ChooseGroup(start, all, nil, one)
+				if refusal == nil {
 					choice.Attempt.Done(start, true)
 				}
 			}
@@ -296,9 +296,9 @@
 	}
 }
 
-// A node that is about to stop takes what it expects to finish. What it expects
-// must be the longest that may come: of a stream its tokens at the group's own
-// pace. Where nobody knows, it says so.
+// A node that is about to stop accepts only requests that it expects to finish. So
+// the expected duration has to be that of the longest possible answer: for a stream
+// the most tokens at the group's observed pace, and 0 where that is unknown.
 func TestExpectedIsTheLongestAnswer(t *testing.T) {
 	t.Parallel()
 	heads := []*fleet.Endpoint{head("only", "a", "large")}
@@ -307,31 +307,31 @@
 		if slow {
 			slowDown(t, tracker, heads)
 		}
-		one := ask()
+		one := newRequest()
 		change(&one)
-		choice, none := tracker.ChooseGroup(start.Add(time.Minute), heads, nil, one)
-		require.Nil(t, none)
+		choice, refusal := tracker.ChooseGroup(start.Add(time.Minute), heads, nil, one)
+		require.Nil(t, refusal)
 		return choice.Expected
 	}
 	short := expected(false, func(a *balance.Request) { a.Answer = 60 })
 	long := expected(false, func(a *balance.Request) { a.Answer = 600 })
-	require.Greater(t, short, 10*ask().Service.Engine.Step*6)
+	require.Greater(t, short, 10*newRequest().Service.Engine.Step*6)
 	require.Greater(t, long, 9*short/2)
 	require.Greater(t, expected(true, func(a *balance.Request) { a.Answer = 600 }), 2*long)
-	require.Zero(t, expected(false, func(*balance.Request) {}), "the tokens aren't known")
+	require.Zero(t, expected(false, func(*balance.Request) {}), "the number of tokens is unknown")
 
 	desk := &fleet.Endpoint{ID: "desk", Service: "desk", Zone: "a", State: fleet.EndpointReady, Slots: 4}
 	call := balance.Request{Service: fleet.Service{Name: "desk"}, Zone: "a", Objective: time.Second}
-	choice, none := balance.NewTracker().ChoosePlain(start, []*fleet.Endpoint{desk}, nil, call)
-	require.Nil(t, none)
-	require.Zero(t, choice.Expected, "nobody says how long a plain service takes")
+	choice, refusal := balance.NewTracker().ChoosePlain(start, []*fleet.Endpoint{desk}, nil, call)
+	require.Nil(t, refusal)
+	require.Zero(t, choice.Expected, "the duration of a plain service's answer is unknown")
 }
 
-// slowDown lets a tracker see a group whose events come at a third of the declared pace.
+// slowDown records events of a group that come at a third of the declared pace.
 func slowDown(t *testing.T, tracker *balance.Tracker, heads []*fleet.Endpoint) {
 	t.Helper()
-	choice, none := tracker.ChooseGroup(start, heads, nil, ask())
-	require.Nil(t, none)
+	choice, refusal := tracker.ChooseGroup(start, heads, nil, newRequest())
+	require.Nil(t, refusal)
 	usual := func(int) time.Duration { return 40 * time.Millisecond }
 	for i := range 400 {
 		choice.Attempt.RecordEvent(start.Add(time.Duration(i)*120*time.Millisecond), usual)
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// budgetSlices divide the window, so that it slides in steps.
+// budgetSlices is the number of steps in which the window slides.
 const budgetSlices = 20
 
-// budgetMargin is the part of the shared budget that is used: nodes don't
-// agree on how many they are, and windows slide on another clock.
+// budgetMargin is the part of the budget that is used: nodes may disagree on how
+// many nodes there are, and their windows slide by different clocks.
 const budgetMargin = 0.75
 
-// RetryBudget bounds how often requests for one service go to a second
-// endpoint, over all nodes: a share of this node's own requests, and this
-// node's part of the slack.
+// RetryBudget limits how many requests for a service are retried at another
+// endpoint. A node may retry a share of its own requests, plus its part of the slack
+// that all nodes have together.
 //
-// Guard: when a zone or a service fails, each request fails at first, and
-// nodes that retry each of them double the load on what is left.
+// When a zone or a service fails, the first attempt of each request fails, and
+// nodes that retry all of them would double the load on the remaining endpoints.
 type RetryBudget struct {
 	mu     sync.Mutex
 	ratio  float64
@@ -30,7 +30,8 @@
 	slice             int64
 }
 
-// NewRetryBudget returns a budget of ratio retries for each request in window.
+// NewRetryBudget returns a budget of ratio retries per request within a sliding
+// window of at least one second.
 func NewRetryBudget(ratio float64, window time.Duration) *RetryBudget {
 	return &RetryBudget{ratio: ratio, window: max(window, time.Second), slices: map[string]*budgetWindow{}}
 }
@@ -61,7 +62,7 @@
 	return true
 }
 
-// at returns a service's window, moved on to now.
+// at returns the window of a service, advanced to now.
 func (b *RetryBudget) at(now time.Time, service string) *budgetWindow {
 	slice := now.UnixNano() / int64(b.window/budgetSlices)
 	w, ok := b.slices[service]
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -7,121 +7,123 @@
 	"redwinghall/fleet"
 )
 
-// Thresholds of choosing and refusing.
+// Thresholds for choosing and refusing.
 const (
-	// nearEnough is the share of the objective within which a group of the
-	// caller's own zone is taken without a look at the other zones: bytes
-	// between zones are costly, and what is known of other zones is older.
-	nearEnough = 0.9
-	// farPenalty is what a group of another zone must be faster by: bytes
-	// between zones are costly, and several nodes may choose the same group
-	// before they hear of each other.
-	farPenalty = 60 * time.Millisecond
-	// refuseBeyond is how many times the objective the predicted first event
-	// must take before a request is refused: one that is surely late takes
-	// places from others that could be in time.
-	refuseBeyond = 1.1
+	// ownZoneThreshold is the share of the objective up to which a group of the
+	// caller's own zone is chosen without considering the other zones: traffic
+	// between zones is costly, and the load known of other zones is older.
+	ownZoneThreshold = 0.9
+	// otherZonePenalty is how much faster a group of another zone has to be:
+	// traffic between zones is costly, and several nodes may choose the same group
+	// before they learn of each other's load.
+	otherZonePenalty = 60 * time.Millisecond
+	// refusalFactor is the multiple of the objective beyond which the predicted
+	// time to the first event gets a request refused: a request that is certain to
+	// be late takes slots from others that could be served in time.
+	refusalFactor = 1.1
 )
 
-// Request is what choosing needs to know of a request.
+// Request describes a request for which an endpoint is chosen, with this node's
+// share of the limits that apply to it.
 type Request struct {
 	Service fleet.Service
-	Model   fleet.Model // of a stream at an engine
-	Zone    string      // of this node, which is the caller's
-	Prompt  int
-	// Answer is how many tokens the answer has at most, 0 if that isn't known.
+	Model   fleet.Model // for a stream of an engine
+	Zone    string      // of this node and so of the caller
+	Prompt  int         // tokens
+	// Answer is the most tokens that the answer may have, 0 if unknown.
 	Answer    int
 	Objective time.Duration
-	// Tried holds the endpoints that this request has been sent to.
+	// Tried holds the endpoints that the request has already been sent to.
 	Tried map[string]bool
 	// Node is this node's name.
 	Node string
-	// ColdRateOwnZone and ColdRateOtherZones are the most requests that this node may send to a
-	// cold endpoint of its own or another zone in any second. Below 2, some of
-	// the nodes send 2 and the others none.
+	// ColdRateOwnZone and ColdRateOtherZones are the most requests that this node
+	// may send in any second to a cold endpoint of its own or of another zone.
+	// Below 2, some of the nodes send 2 and the others none.
 	ColdRateOwnZone, ColdRateOtherZones float64
-	// Nodes is how many nodes there are, ZoneNodes how many in this zone.
+	// Nodes is the number of all nodes, ZoneNodes that of this zone's nodes.
 	Nodes, ZoneNodes int
-	// IsDispatcher says that this node chooses for all nodes of its zone, so that it
+	// IsDispatcher says that this node chooses for all nodes of its zone and so
 	// knows what they send.
 	IsDispatcher bool
-	// ZonesFull holds the zones that said that they can't serve the stream in
-	// time. Their cold groups, which no zone offers, are not meant.
+	// ZonesFull holds the zones that reported that they can't serve the stream in
+	// time. It excludes only their warm groups: zones don't offer cold ones.
 	ZonesFull map[string]bool
-	// Resumed says that the stream was taken from another group: it is worth
-	// finishing late, and is not refused for being so.
+	// Resumed says that the stream was started at another group. It is worth
+	// finishing late, so it isn't refused for a late prediction.
 	Resumed bool
-	// Connections bounds this node's requests at one endpoint.
+	// Connections limits this node's requests at one endpoint; 0 means no limit.
 	Connections int
-	// PermitShare is the part of an endpoint's limit that this node lends to others, 0 where
-	// it doesn't choose for them.
+	// PermitShare is the part of an endpoint's rate limit that this node grants as
+	// permits, 0 if it doesn't choose for other nodes.
 	PermitShare float64
-	// LimitedFor is how long the limits of its endpoints keep the caller's zone from one
-	// more request, 0 if they don't.
+	// LimitedFor is how long the rate limits of its endpoints keep the caller's zone
+	// from taking another request, 0 if they don't.
 	LimitedFor time.Duration
 
-	bias time.Duration // of predictions, as observed
+	bias time.Duration // observed error of predictions
 }
 
-// WithZoneFull returns the ask without the groups of a zone.
-func (a Request) WithZoneFull(zone string) Request {
+// WithZoneFull returns the request with the warm groups of a zone excluded.
+func (r Request) WithZoneFull(zone string) Request {
 	full := map[string]bool{zone: true}
-	for one := range a.ZonesFull {
+	for one := range r.ZonesFull {
 		full[one] = true
 	}
-	a.ZonesFull = full
-	return a
+	r.ZonesFull = full
+	return r
 }
 
-// WithOnlyZone returns the ask without the warm groups of all zones but one.
-func (a Request) WithOnlyZone(heads []*fleet.Endpoint, but string) Request {
-	full := map[string]bool{a.Zone: true}
+// WithOnlyZone returns the request with the warm groups of its own zone and of all
+// other zones but one excluded.
+func (r Request) WithOnlyZone(heads []*fleet.Endpoint, but string) Request {
+	full := map[string]bool{r.Zone: true}
 	for _, e := range heads {
 		if e.Zone != but {
 			full[e.Zone] = true
 		}
 	}
-	a.ZonesFull = full
-	return a
+	r.ZonesFull = full
+	return r
 }
 
-// Choice is the endpoint for a request, with what decided it.
+// Choice is the endpoint chosen for a request, with the data it was chosen by.
 type Choice struct {
 	Endpoint *fleet.Endpoint
 	Attempt  *Attempt
-	// Predicted is the time to the first event, or to the answer of a plain
-	// service.
+	// Predicted is the predicted time to the first event, or to the answer of a
+	// plain service.
 	Predicted time.Duration
-	// Expected is the time to the end of the longest answer that a stream of an
-	// engine may get, 0 if that isn't known.
+	// Expected is the predicted time to the end of the longest answer that a stream
+	// of an engine may get, 0 if unknown.
 	Expected time.Duration
 	Running  int
-	// Age is how old the newest report of the endpoint's load was; negative if
-	// there was none.
+	// Age is the age of the newest report of the endpoint's load, negative if there
+	// is none.
 	Age time.Duration
-	// Permitted says that the endpoint's limit allows for the request.
+	// Permitted says that the endpoint's rate limit allows the request.
 	Permitted bool
 }
 
-// WithPermit returns the choice as one that the endpoint's limit allows for, or not.
+// WithPermit returns the choice with Permitted set.
 func (c Choice) WithPermit(permitted bool) Choice {
 	c.Permitted = permitted
 	return c
 }
 
-// Refusal says why a request gets no endpoint now.
+// Refusal says why no endpoint was chosen for a request.
 type Refusal struct {
 	Reason     string
 	Predicted  time.Duration
 	RetryAfter time.Duration
 	// Best is the id of the endpoint that would have been chosen, "" if none was
-	// found; Running and Age say what was known of it, as in Choice.
+	// found. Running and Age describe it as in Choice.
 	Best    string
 	Running int
 	Age     time.Duration
 }
 
-// Reasons of a refusal.
+// Reasons for a refusal.
 const (
 	NoEndpoint  = "no_endpoint"
 	Overloaded  = "overloaded"
@@ -130,16 +132,16 @@
 	Limited     = "limited"
 )
 
-// Retry times for callers.
+// Times after which refused callers should retry.
 const (
 	retrySoon = 300 * time.Millisecond
-	// retryLater is for those who wait for a group to be formed. Callers with a few
-	// seconds' patience come back within a third of it.
+	// retryLater applies while a group is being formed. Callers that give up after
+	// a few seconds then retry within a third of that time.
 	retryLater = 2 * time.Second
 )
 
-// Usable reports whether an endpoint may get requests at all: it is ready, in
-// a zone that is in service, and heads an open group where it is an engine's.
+// Usable reports whether an endpoint may get requests at all: it is ready, its
+// zone is in service, and, if it belongs to an engine, it heads an open group.
 func Usable(service *fleet.Service, e *fleet.Endpoint, zonesOut map[string]bool) bool {
 	if e.State != fleet.EndpointReady || zonesOut[e.Zone] {
 		return false
@@ -147,170 +149,174 @@
 	return service.Engine == nil || e.Serves()
 }
 
-// candidate is one endpoint under consideration.
+// candidate is an endpoint under consideration.
 type candidate struct {
 	endpoint  *fleet.Endpoint
 	state     *State
 	predicted time.Duration
-	queued    time.Duration // of predicted, the wait for a place
+	queued    time.Duration // the part of predicted spent waiting for a slot
 	running   int
 	score     time.Duration
 	full      bool
 }
 
-// ChooseGroup chooses the group for a stream, or says why none is.
-func (t *Tracker) ChooseGroup(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request) (Choice, *Refusal) {
+// ChooseGroup chooses the group for a stream, or says why there is none.
+func (t *Tracker) ChooseGroup(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, request Request) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ask.bias = t.bias
-	look := &search{ask: ask, now: now, zonesOut: zonesOut, weigh: ask.weigh}
-	look.consider(t, heads, func(e *fleet.Endpoint) bool { return e.Zone == ask.Zone })
-	near := look.best
-	if near == nil || near.full || float64(near.predicted) > nearEnough*float64(ask.Objective) {
-		t.lookedFar = now
-		look.consider(t, heads, func(e *fleet.Endpoint) bool { return e.Zone != ask.Zone })
+	request.bias = t.bias
+	l := &lookup{request: request, now: now, zonesOut: zonesOut, evaluate: request.evaluateGroup}
+	l.consider(t, heads, func(e *fleet.Endpoint) bool { return e.Zone == request.Zone })
+	ownZoneBest := l.best
+	if ownZoneBest == nil || ownZoneBest.full || float64(ownZoneBest.predicted) > ownZoneThreshold*float64(request.Objective) {
+		t.otherZonesConsideredAt = now
+		l.consider(t, heads, func(e *fleet.Endpoint) bool { return e.Zone != request.Zone })
 	}
-	best := look.best
+	best := l.best
 	if best == nil {
-		return Choice{}, look.refusal()
+		return Choice{}, l.refusal()
 	}
-	if !ask.Resumed && float64(best.predicted) > refuseBeyond*float64(ask.Objective) {
-		return Choice{}, refusalOfLate(now, best, ask)
+	if !request.Resumed && float64(best.predicted) > refusalFactor*float64(request.Objective) {
+		return Choice{}, lateRefusal(now, best, request)
 	}
-	return t.take(now, best, ask), nil
+	return t.take(now, best, request), nil
 }
 
-// search holds what a choice asks for and the best endpoint found so far.
-type search struct {
-	ask      Request
+// lookup is the state of one choice: the request and the best endpoint found so
+// far.
+type lookup struct {
+	request  Request
 	now      time.Time
 	zonesOut map[string]bool
-	weigh    func(time.Time, *State, *fleet.Endpoint) candidate
+	evaluate func(time.Time, *State, *fleet.Endpoint) candidate
 
-	best   *candidate // nil or what chosen holds
+	best   *candidate // nil or &chosen, which saves an allocation
 	chosen candidate
-	// Endpoints that fit but were passed by: in zones without room now, left
-	// alone after failed connections, and too cold for one more.
+	// Numbers of suitable endpoints that were skipped: in full zones, in backoff
+	// after failed connections, and cold with their rate spent.
 	full, backedOff, cold int
-	// limited counts those that take no more now by their own limit, limitedFor is
-	// when the first of them does.
+	// limited counts endpoints whose rate limit allows no further request now,
+	// limitedFor is the shortest wait for one of them.
 	limited    int
 	limitedFor time.Duration
 }
 
-// consider weighs the usable ones among the endpoints that are wanted.
-func (l *search) consider(t *Tracker, endpoints []*fleet.Endpoint, wanted func(*fleet.Endpoint) bool) {
+// consider evaluates the usable endpoints among those that wanted selects.
+func (l *lookup) consider(t *Tracker, endpoints []*fleet.Endpoint, wanted func(*fleet.Endpoint) bool) {
 	for _, e := range endpoints {
-		if !wanted(e) || !Usable(&l.ask.Service, e, l.zonesOut) || l.ask.Tried[e.ID] {
+		if !wanted(e) || !Usable(&l.request.Service, e, l.zonesOut) || l.request.Tried[e.ID] {
 			continue
 		}
-		if l.ask.Service.Engine != nil && e.Model() != l.ask.Model.Name {
+		if l.request.Service.Engine != nil && e.Model() != l.request.Model.Name {
 			continue
 		}
 		s := t.state(e.ID, l.now)
 		switch {
-		case l.ask.ZonesFull[e.Zone] && !e.ColdAt(l.now):
+		case l.request.ZonesFull[e.Zone] && !e.ColdAt(l.now):
 			l.full++
 		case l.now.Before(s.backoffUntil):
 			l.backedOff++
-		case !l.ask.admits(l.now, s, e):
+		case !l.request.admitsCold(l.now, s, e):
 			l.cold++
 		default:
-			l.offerWithin(s, e)
+			l.offerWithinLimit(s, e)
 		}
 	}
 }
 
-// offerWithin weighs an endpoint unless its limit keeps it from one more request.
-func (l *search) offerWithin(s *State, e *fleet.Endpoint) {
-	wait := l.ask.limitedFor(l.now, s)
+// offerWithinLimit evaluates an endpoint unless its rate limit allows no further
+// request now.
+func (l *lookup) offerWithinLimit(s *State, e *fleet.Endpoint) {
+	wait := l.request.limitedFor(l.now, s)
 	if wait <= 0 {
-		l.offer(l.weigh(l.now, s, e))
+		l.offer(l.evaluate(l.now, s, e))
 		return
 	}
-	l.noteLimited(wait)
+	l.recordLimited(wait)
 }
 
-func (l *search) noteLimited(wait time.Duration) {
+func (l *lookup) recordLimited(wait time.Duration) {
 	if l.limited == 0 || wait < l.limitedFor {
 		l.limitedFor = wait
 	}
 	l.limited++
 }
 
-// HasAlternative reports whether another endpoint could take a stream over now. One with a
-// limit may give no permit, and a stream that was ended for it would be lost.
-func (t *Tracker) HasAlternative(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, ask Request) bool {
+// HasAlternative reports whether another endpoint could take over a stream now. It
+// leaves out endpoints with a rate limit: the permit may be denied, and a stream
+// ended to move there would be lost.
+func (t *Tracker) HasAlternative(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, request Request) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	look := &search{ask: ask, now: now, zonesOut: zonesOut, weigh: func(_ time.Time, s *State, e *fleet.Endpoint) candidate {
+	l := &lookup{request: request, now: now, zonesOut: zonesOut, evaluate: func(_ time.Time, s *State, e *fleet.Endpoint) candidate {
 		return candidate{endpoint: e, state: s}
 	}}
-	look.consider(t, endpoints, func(e *fleet.Endpoint) bool { return !t.state(e.ID, now).limit.limit.Named })
-	return look.best != nil
+	l.consider(t, endpoints, func(e *fleet.Endpoint) bool { return !t.state(e.ID, now).limit.limit.Named })
+	return l.best != nil
 }
 
-// refusal says why no endpoint was found. Where some were passed by, their
-// callers may come back soon; where there is none, one has to come first.
-func (l *search) refusal() *Refusal {
+// refusal says why no endpoint was found. Callers may retry soon if suitable
+// endpoints were skipped, and later if none exists yet.
+func (l *lookup) refusal() *Refusal {
 	switch {
 	case l.cold > 0:
 		return &Refusal{Reason: ColdOnly, RetryAfter: retrySoon}
 	case l.limited > 0:
 		return LimitedRefusal(l.limitedFor)
-	case l.full > 0 && l.ask.LimitedFor > 0:
-		return LimitedRefusal(l.ask.LimitedFor)
+	case l.full > 0 && l.request.LimitedFor > 0:
+		return LimitedRefusal(l.request.LimitedFor)
 	case l.full > 0:
-		return &Refusal{Reason: Overloaded, RetryAfter: l.ask.retryWhenFull(0)}
+		return &Refusal{Reason: Overloaded, RetryAfter: l.request.retryWhenFull(0)}
 	case l.backedOff > 0:
 		return &Refusal{Reason: Unreachable, RetryAfter: retrySoon}
 	}
 	return &Refusal{Reason: NoEndpoint, RetryAfter: retryLater}
 }
 
-// LimitedRefusal refuses a request for which endpoints have room within their limits
-// after a wait.
+// LimitedRefusal refuses a request because of rate limits that allow it after a
+// wait.
 func LimitedRefusal(wait time.Duration) *Refusal {
 	return &Refusal{Reason: Limited, RetryAfter: min(max(wait, retrySoon), retryLater)}
 }
 
-// refusalOfLate refuses a stream that even the best group would serve late.
-func refusalOfLate(now time.Time, best *candidate, ask Request) *Refusal {
+// lateRefusal refuses a stream that even the best group would serve too late.
+func lateRefusal(now time.Time, best *candidate, request Request) *Refusal {
 	return &Refusal{
-		Reason: Overloaded, Predicted: best.predicted, RetryAfter: ask.retryWhenFull(best.predicted - ask.Objective),
+		Reason: Overloaded, Predicted: best.predicted, RetryAfter: request.retryWhenFull(best.predicted - request.Objective),
 		Best: best.endpoint.ID, Running: best.running, Age: best.state.reportAge(now),
 	}
 }
 
-// offer keeps a candidate that is better than the best so far.
-func (l *search) offer(c candidate) {
+// offer keeps a candidate that scores better than the best so far; ties are broken
+// at random.
+func (l *lookup) offer(c candidate) {
 	if l.best == nil || c.score < l.best.score || (c.score == l.best.score && rand.N(2) == 0) {
 		l.chosen = c
 		l.best = &l.chosen
 	}
 }
 
-func (a Request) weigh(now time.Time, s *State, e *fleet.Endpoint) candidate {
-	pace := NewPace(a.Service.Engine, a.Model, max(1, s.slowdown))
+func (r Request) evaluateGroup(now time.Time, s *State, e *fleet.Endpoint) candidate {
+	pace := NewPace(r.Service.Engine, r.Model, max(1, s.slowdown))
 	c := candidate{endpoint: e, state: s}
-	nodes := a.ZoneNodes
+	nodes := r.ZoneNodes
 	switch {
-	case e.Zone != a.Zone:
-		nodes = a.Nodes
-	case a.IsDispatcher:
+	case e.Zone != r.Zone:
+		nodes = r.Nodes
+	case r.IsDispatcher:
 		nodes = 1
 	}
-	known, unshared := s.others(now), s.unshared(now, nodes)
+	known, unshared := s.others(now), s.unsharedLoad(now, nodes)
 	others := known.With(unshared)
 	running := s.runningWith(now, known) + unshared.Requests
 	waiting := s.unstarted + others.Unstarted
 	c.running = running
-	c.queued = pace.placeTime(running+1, a.bias)
-	c.predicted = pace.FirstEvent(running-waiting, s.unread+others.Unread, a.Prompt) + a.bias + c.queued
+	c.queued = pace.slotWait(running+1, r.bias)
+	c.predicted = pace.FirstEvent(running-waiting, s.unread+others.Unread, r.Prompt) + r.bias + c.queued
 	c.score = c.predicted + pace.Pass(running+1, 0)
-	c.full = a.Connections > 0 && s.own >= a.Connections
-	if e.Zone != a.Zone {
-		c.score += farPenalty
+	c.full = r.Connections > 0 && s.own >= r.Connections
+	if e.Zone != r.Zone {
+		c.score += otherZonePenalty
 	}
 	if c.full {
 		c.predicted += time.Hour
@@ -319,14 +325,14 @@
 	return c
 }
 
-func (t *Tracker) take(now time.Time, c *candidate, ask Request) Choice {
-	if ask.Service.ColdPerSecond > 0 && c.endpoint.ColdAt(now) {
-		share := ask.coldShare(c.endpoint)
+func (t *Tracker) take(now time.Time, c *candidate, request Request) Choice {
+	if request.Service.ColdPerSecond > 0 && c.endpoint.ColdAt(now) {
+		share := request.coldShare(c.endpoint)
 		c.state.cold.take(now, share/2, share/2)
 	}
 	return Choice{
-		Endpoint: c.endpoint, Attempt: t.visit(now, c.state, ask.Prompt, c.predicted, c.queued),
-		Predicted: c.predicted, Expected: ask.longest(c), Running: c.running, Age: c.state.reportAge(now),
+		Endpoint: c.endpoint, Attempt: t.startAttempt(now, c.state, request.Prompt, c.predicted, c.queued),
+		Predicted: c.predicted, Expected: request.longestAnswer(c), Running: c.running, Age: c.state.reportAge(now),
 		Permitted: !c.state.limit.limit.Named,
 	}
 }
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -8,35 +8,36 @@
 	"redwinghall/fleet"
 )
 
-// admits reports whether an endpoint can take one more request now, as far as
-// its being cold limits it.
+// admitsCold reports whether the rate limit for cold endpoints allows another
+// request to an endpoint now.
 //
-// Guard: a cold endpoint falls over under full load, and all nodes send at
-// once when it appears. Each node spends only its own part of the rate.
-func (a Request) admits(now time.Time, s *State, e *fleet.Endpoint) bool {
-	if a.Service.ColdPerSecond <= 0 || !e.ColdAt(now) {
+// A cold endpoint fails under full load, and all nodes start sending when it
+// appears. So each node sends only its own share of the rate.
+func (r Request) admitsCold(now time.Time, s *State, e *fleet.Endpoint) bool {
+	if r.Service.ColdPerSecond <= 0 || !e.ColdAt(now) {
 		return true
 	}
-	share := a.coldShare(e)
+	share := r.coldShare(e)
 	return share > 0 && s.cold.has(now, share/2, share/2)
 }
 
-// minColdShare is the share of a node below which only some nodes send: a
-// bucket of one that gains one a second lets two through in a second.
+// minColdShare is the share below which only some nodes send: a token bucket of
+// size 1 that refills at 1 per second allows 2 requests in one second.
 const minColdShare = 2
 
-// coldShare returns the most requests that this node sends to a cold endpoint
-// in any second: half of it at once, and half of it a second.
-func (a Request) coldShare(e *fleet.Endpoint) float64 {
-	share := a.ColdRateOtherZones
-	if e.Zone == a.Zone {
-		share = a.ColdRateOwnZone
+// coldShare returns the most requests that this node sends to a cold endpoint in
+// any second. Half of it is the burst and half the refill rate per second. Which
+// nodes send when the share is below minColdShare is decided by a hash.
+func (r Request) coldShare(e *fleet.Endpoint) float64 {
+	share := r.ColdRateOtherZones
+	if e.Zone == r.Zone {
+		share = r.ColdRateOwnZone
 	}
 	if share >= minColdShare {
 		return share
 	}
 	const parts = 1 << 16
-	if float64(xxhash.Sum64String(a.Node+"|"+e.ID)%parts) < share/minColdShare*parts {
+	if float64(xxhash.Sum64String(r.Node+"|"+e.ID)%parts) < share/minColdShare*parts {
 		return minColdShare
 	}
 	return 0
--- /dev/null
+++ b/balance/failure_reports.go
@@ -0,0 +1,53 @@
+package balance
+
+import (
+	"slices"
+	"time"
+
+	"redwinghall/fleet"
+)
+
+// failureReport is a report of a node that an endpoint doesn't answer it.
+type failureReport struct {
+	node string
+	at   time.Time
+}
+
+// Reports of failureReportsNeeded nodes within failureReportTTL count like a
+// failure seen by this node. A single node may itself be partitioned.
+const (
+	failureReportsNeeded = 2
+	failureReportTTL     = time.Second
+)
+
+// RecordFailureReport records that an endpoint doesn't answer another node, for
+// which this node chooses.
+func (t *Tracker) RecordFailureReport(now time.Time, id, node string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.state(id, now)
+	s.failureReports = slices.DeleteFunc(s.failureReports, func(c failureReport) bool {
+		return c.node == node || now.Sub(c.at) >= failureReportTTL
+	})
+	s.failureReports = append(s.failureReports, failureReport{node: node, at: now})
+	if len(s.failureReports) < failureReportsNeeded {
+		return
+	}
+	if now.Sub(s.backoffUntil) > maxBackoff {
+		s.backoff = 0
+	}
+	s.backOff(now)
+}
+
+// BackedOff returns the ids of those endpoints that are in backoff at this node.
+func (t *Tracker) BackedOff(now time.Time, endpoints []*fleet.Endpoint) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var backedOff []string
+	for _, e := range endpoints {
+		if s, ok := t.states[e.ID]; ok && now.Before(s.backoffUntil) {
+			backedOff = append(backedOff, e.ID)
+		}
+	}
+	return backedOff
+}
--- a/balance/load.go
+++ b/balance/load.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Load is how much a node has at one endpoint.
+// Load is the load that a node has in progress at one endpoint.
 type Load struct {
 	Requests  int
 	Unstarted int // of these, streams without a first event
-	Unread    int // prompt tokens of the unstarted
+	Unread    int // prompt tokens of the unstarted streams
 }
 
 // With returns the sum of two loads.
@@ -17,51 +17,52 @@
 	return Load{Requests: l.Requests + more.Requests, Unstarted: l.Unstarted + more.Unstarted, Unread: l.Unread + more.Unread}
 }
 
-// recent counts what this node sent to an endpoint lately, fading with time.
-type recent struct {
+// recentRequests counts what this node recently sent to an endpoint, with
+// exponential decay.
+type recentRequests struct {
 	requests, tokens float64
 	at               time.Time
 }
 
-// shareLag is how old the shared loads of other nodes are, on average over
-// those of this zone and of others.
+// shareLag is the mean age of the shared loads of other nodes, over those of this
+// zone and of other zones.
 const shareLag = 150 * time.Millisecond
 
-// faded returns the counts as of now.
-func (r recent) faded(now time.Time) recent {
+// decayed returns the counts as of now.
+func (r recentRequests) decayed(now time.Time) recentRequests {
 	if r.at.IsZero() {
-		return recent{at: now}
+		return recentRequests{at: now}
 	}
 	left := math.Exp(-now.Sub(r.at).Seconds() / shareLag.Seconds())
-	return recent{requests: r.requests * left, tokens: r.tokens * left, at: now}
+	return recentRequests{requests: r.requests * left, tokens: r.tokens * left, at: now}
 }
 
 // With returns the counts after one more request.
-func (r recent) With(now time.Time, tokens int) recent {
-	next := r.faded(now)
+func (r recentRequests) With(now time.Time, tokens int) recentRequests {
+	next := r.decayed(now)
 	next.requests++
 	next.tokens += float64(tokens)
 	return next
 }
 
-// unshared estimates what other nodes sent to an endpoint but have not shared
-// yet: each as much as this node did.
+// unsharedLoad estimates the load that other nodes sent to an endpoint but have not
+// shared yet: each as much as this node did.
 //
-// Guard: when a group opens, or one is emptier than the others, all nodes see
-// that at the same moment, and each sends what the group could bear alone. Its
+// When a group opens, or one is emptier than the others, all nodes see that at the
+// same time, and each sends as much as the group could handle from one node. The
 // prompts are then read one after the other, and all of them are late.
-func (s *State) unshared(now time.Time, nodes int) Load {
+func (s *State) unsharedLoad(now time.Time, nodes int) Load {
 	if nodes <= 1 || s.sent.at.IsZero() {
 		return Load{}
 	}
-	r := s.sent.faded(now)
+	r := s.sent.decayed(now)
 	others := float64(max(0, nodes-1))
 	n := int(others*r.requests + 0.5)
 	return Load{Requests: n, Unstarted: n, Unread: int(others * r.tokens)}
 }
 
-// OwnLoads returns what this node has at each endpoint, and what it has promised
-// to others there.
+// OwnLoads returns the load of this node at each endpoint, including what it has
+// reserved there for others.
 func (t *Tracker) OwnLoads(now time.Time) map[string]Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,24 +76,25 @@
 	return own
 }
 
-// SetOwnZoneLoads takes in what the other nodes of the zone have.
+// SetOwnZoneLoads sets the loads of the other nodes of this zone.
 func (t *Tracker) SetOwnZoneLoads(now time.Time, loads map[string]Load) {
-	t.setLoads(now, loads, func(s *State, load Load) { s.shared, s.sharedAt = load, now })
+	t.setLoads(now, loads, func(s *State, load Load) { s.ownZoneLoad, s.ownZoneLoadAt = load, now })
 }
 
-// SetOtherZoneLoads takes in what the nodes of the other zones have.
+// SetOtherZoneLoads sets the loads of the nodes of all other zones.
 func (t *Tracker) SetOtherZoneLoads(now time.Time, loads map[string]Load) {
-	t.setLoads(now, loads, func(s *State, load Load) { s.zones, s.zonesAt = load, now })
+	t.setLoads(now, loads, func(s *State, load Load) { s.otherZoneLoad, s.otherZoneLoadAt = load, now })
 }
 
-// ConsidersOtherZones reports whether this node lately considered groups of other zones.
+// ConsidersOtherZones reports whether this node considered groups of other zones
+// within otherZonesInterest.
 func (t *Tracker) ConsidersOtherZones(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return now.Sub(t.lookedFar) < farInterest
+	return now.Sub(t.otherZonesConsideredAt) < otherZonesInterest
 }
 
-// setLoads sets the load of each endpoint that is known or named.
+// setLoads sets the load of each endpoint that is tracked or in loads.
 func (t *Tracker) setLoads(now time.Time, loads map[string]Load, set func(*State, Load)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -12,17 +12,17 @@
 	"redwinghall/standin/passes"
 )
 
-// outcome counts what callers got.
+// outcome counts requests by their result.
 type outcome struct{ asked, inTime, late, refused int }
 
 func (o outcome) share(n int) float64 { return float64(n) / float64(o.asked) }
 
-// play is a load that several nodes play at groups in virtual time.
-type play struct {
+// simulation simulates in virtual time several nodes that send requests to groups.
+type simulation struct {
 	nodes, groups int
 	perSecond     float64
 	length        time.Duration
-	// choose returns the index of the group for a request of a node, or -1.
+	// choose returns the index of the group for a request of a node, -1 to refuse it.
 	choose func(now time.Time, node int, prompt int) (int, *balance.Attempt)
 	share  func(now time.Time)
 }
@@ -32,8 +32,8 @@
 	pauseGoal = 250 * time.Millisecond
 )
 
-// run plays the load. Prompts and answers are drawn with a fixed seed.
-func (p play) run(groups []*passes.Group) outcome {
+// run runs the simulation. Prompts and answers are drawn with a fixed seed.
+func (p simulation) run(groups []*passes.Group) outcome {
 	var o outcome
 	random := rand.New(rand.NewPCG(1, 2))
 	now := start
@@ -62,9 +62,9 @@
 	return o
 }
 
-func (p play) send(now time.Time, random *rand.Rand, groups []*passes.Group, o *outcome) {
+func (p simulation) send(now time.Time, random *rand.Rand, groups []*passes.Group, o *outcome) {
 	prompt := int(min(4000, random.ExpFloat64()*1600+60))
-	chosen, visit := p.choose(now, random.IntN(p.nodes), prompt)
+	chosen, attempt := p.choose(now, random.IntN(p.nodes), prompt)
 	if chosen < 0 {
 		o.refused++
 		return
@@ -79,14 +79,14 @@
 				slowest = max(slowest, at.Sub(last))
 			}
 			last = at
-			if visit != nil {
-				visit.RecordEvent(at, nil)
+			if attempt != nil {
+				attempt.RecordEvent(at, nil)
 			}
 			if !end {
 				return
 			}
-			if visit != nil {
-				visit.Done(at, true)
+			if attempt != nil {
+				attempt.Done(at, true)
 			}
 			if first.Sub(now) <= objective && slowest <= pauseGoal {
 				o.inTime++
@@ -105,9 +105,9 @@
 	return groups
 }
 
-// playOurs plays a load at the decisions of this package, for nodes that tell
-// each other their loads every 60 ms.
-func playOurs(perSecond float64) outcome {
+// simulateTracker simulates a load with the decisions of this package, for nodes that
+// share their loads every 60 ms.
+func simulateTracker(perSecond float64) outcome {
 	const nodes, count = 2, 2
 	groups := newGroups(count)
 	var heads []*fleet.Endpoint
@@ -118,13 +118,13 @@
 	for i := range trackers {
 		trackers[i] = balance.NewTracker()
 	}
-	return play{
+	return simulation{
 		nodes: nodes, groups: count, perSecond: perSecond, length: time.Minute,
 		choose: func(now time.Time, node, prompt int) (int, *balance.Attempt) {
-			a := ask()
+			a := newRequest()
 			a.Prompt, a.Nodes, a.ZoneNodes = prompt, nodes, nodes
-			choice, none := trackers[node].ChooseGroup(now, heads, nil, a)
-			if none != nil {
+			choice, refusal := trackers[node].ChooseGroup(now, heads, nil, a)
+			if refusal != nil {
 				return -1, nil
 			}
 			return int(choice.Endpoint.ID[0] - 'a'), choice.Attempt
@@ -146,11 +146,11 @@
 	}.run(groups)
 }
 
-// playLeastLoaded is the baseline: the group with the fewest requests, first
-// come first served, nothing refused.
-func playLeastLoaded(perSecond float64) outcome {
+// simulateLeastLoaded is the baseline: each request goes to the group with the fewest
+// requests, first come, first served, and none is refused.
+func simulateLeastLoaded(perSecond float64) outcome {
 	groups := newGroups(2)
-	return play{
+	return simulation{
 		nodes: 2, groups: 2, perSecond: perSecond, length: time.Minute,
 		choose: func(time.Time, int, int) (int, *balance.Attempt) {
 			best, least := 0, 1<<30
@@ -164,12 +164,12 @@
 	}.run(groups)
 }
 
-// Two groups bear about 26 such requests a second. At a half of that both
-// policies serve nearly all in time. Beyond it, without refusals all answers
-// are late; with them most of what the groups can bear stays in time.
+// Two groups can serve about 26 such requests a second. At half that rate both
+// policies serve nearly all requests in time. Above it all answers are late without
+// refusals; with them, most of what the groups can serve stays in time.
 //
-// Measured with this load (share in time, ours against least loaded):
-// 12 a second 0.99 and 0.98, 24 a second 0.94 and 0.95, 36 a second 0.76 and 0.07.
+// Measured share in time, this package against least loaded: 0.99 and 0.98 at 12
+// requests a second, 0.94 and 0.95 at 24, 0.76 and 0.07 at 36.
 func TestLoadServedInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		perSecond, inTime, gain float64
@@ -180,7 +180,7 @@
 		"far_above": {60, 0.35, 0.3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ours, base := playOurs(c.perSecond), playLeastLoaded(c.perSecond)
+			ours, base := simulateTracker(c.perSecond), simulateLeastLoaded(c.perSecond)
 			t.Logf("ours %+v: %.2f in time; least loaded %+v: %.2f", ours, ours.share(ours.inTime), base, base.share(base.inTime))
 			require.GreaterOrEqual(t, ours.share(ours.inTime), c.inTime)
 			require.GreaterOrEqual(t, ours.share(ours.inTime), base.share(base.inTime)+c.gain-0.02)
--- a/balance/longest.go
+++ b/balance/longest.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
-// longest returns how long the longest answer takes that a stream of an engine
-// may get, 0 if that isn't known. Other services don't say how long theirs are.
-func (a Request) longest(c *candidate) time.Duration {
-	engine := a.Service.Engine
-	if engine == nil || a.Answer <= 0 || engine.Stride <= 0 {
+// longestAnswer predicts the time to the end of the longest answer that a stream of
+// an engine may get. It returns 0 if that is unknown, as for services without an
+// engine, whose requests don't say how long the answer may be.
+func (r Request) longestAnswer(c *candidate) time.Duration {
+	engine := r.Service.Engine
+	if engine == nil || r.Answer <= 0 || engine.Stride <= 0 {
 		return 0
 	}
-	passes := (a.Answer + engine.Stride - 1) / engine.Stride
-	return c.predicted + time.Duration(passes)*NewPace(engine, a.Model, max(1, c.state.slowdown)).Pass(c.running+1, 0)
+	passes := (r.Answer + engine.Stride - 1) / engine.Stride
+	return c.predicted + time.Duration(passes)*NewPace(engine, r.Model, max(1, c.state.slowdown)).Pass(c.running+1, 0)
 }
--- a/balance/plain.go
+++ b/balance/plain.go
@@ -6,34 +6,36 @@
 	"redwinghall/fleet"
 )
 
-// Weights of choosing among plain endpoints.
+// Weights for choosing among the endpoints of a plain service, that is, one
+// without an engine.
 const (
-	// failurePenalty is added for an endpoint all of whose requests fail.
+	// failurePenalty is added to the score of an endpoint whose requests all fail.
 	failurePenalty = 2 * time.Second
-	// plainFarPenalty is added for an endpoint of another zone; answers are
-	// small, so it is less than farPenalty.
-	plainFarPenalty = 15 * time.Millisecond
-	// defaultLatency is assumed of an endpoint of which nothing is known.
+	// plainOtherZonePenalty is added to the score of an endpoint of another zone. It
+	// is less than otherZonePenalty, as answers are small.
+	plainOtherZonePenalty = 15 * time.Millisecond
+	// defaultLatency is assumed for an endpoint that has no latency recorded.
 	defaultLatency = 50 * time.Millisecond
 )
 
-// ChoosePlain chooses the endpoint of a plain service for a request.
-func (t *Tracker) ChoosePlain(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, ask Request) (Choice, *Refusal) {
+// ChoosePlain chooses the endpoint of a plain service for a request, or says why
+// there is none.
+func (t *Tracker) ChoosePlain(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, request Request) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	look := &search{ask: ask, now: now, zonesOut: zonesOut, weigh: ask.weighPlain}
-	look.consider(t, endpoints, func(*fleet.Endpoint) bool { return true })
-	best := look.best
+	l := &lookup{request: request, now: now, zonesOut: zonesOut, evaluate: request.evaluatePlain}
+	l.consider(t, endpoints, func(*fleet.Endpoint) bool { return true })
+	best := l.best
 	if best == nil {
-		return Choice{}, look.refusal()
+		return Choice{}, l.refusal()
 	}
-	if !ask.Resumed && (best.full || float64(best.predicted) > refuseBeyond*float64(max(ask.Objective, defaultLatency))) {
+	if !request.Resumed && (best.full || float64(best.predicted) > refusalFactor*float64(max(request.Objective, defaultLatency))) {
 		return Choice{}, &Refusal{Reason: Overloaded, Predicted: best.predicted, RetryAfter: retrySoon}
 	}
-	return t.take(now, best, ask), nil
+	return t.take(now, best, request), nil
 }
 
-func (a Request) weighPlain(now time.Time, s *State, e *fleet.Endpoint) candidate {
+func (r Request) evaluatePlain(now time.Time, s *State, e *fleet.Endpoint) candidate {
 	running := s.running(now)
 	c := candidate{endpoint: e, state: s, running: running}
 	work := s.latency
@@ -42,11 +44,11 @@
 	}
 	waiting := max(0, running+1-max(1, e.Slots))
 	c.predicted = work + work*time.Duration(waiting)/time.Duration(max(1, e.Slots))
-	c.full = a.Connections > 0 && s.own >= a.Connections
+	c.full = r.Connections > 0 && s.own >= r.Connections
 	c.score = c.predicted + time.Duration(running)*work/time.Duration(max(1, e.Slots))/2 +
 		time.Duration(s.failures*float64(failurePenalty))
-	if e.Zone != a.Zone {
-		c.score += plainFarPenalty
+	if e.Zone != r.Zone {
+		c.score += plainOtherZonePenalty
 	}
 	if c.full {
 		c.score += time.Hour
--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -7,96 +7,98 @@
 )
 
 const (
-	// reserveFor is how long a reservation counts that nobody settles. By then
-	// the other zone has shared the stream as a part of its load.
-	reserveFor = 400 * time.Millisecond
-	// reserveUnsettled is the same for a node of this zone, which settles its
-	// reservations by telling its loads; it outlasts a few lost words.
-	reserveUnsettled = time.Second
+	// reservationTTL is how long a reservation counts that a node of another zone
+	// made. By then that zone has shared the stream as part of its load.
+	reservationTTL = 400 * time.Millisecond
+	// ownZoneReservationTTL is the same for a node of this zone, whose reservations
+	// end when it shares its loads; it outlasts a few lost messages.
+	ownZoneReservationTTL = time.Second
 )
 
 // Requester is the node that a reservation is for.
 type Requester struct {
 	Node string
-	// Ticket numbers the node's own asks. It is 0 for a node of another zone,
-	// whose loads come as a part of its zone's sum.
+	// Ticket is the sequence number of the node's request. It is 0 for a node of
+	// another zone, whose loads arrive as part of its zone's sum.
 	Ticket uint64
 }
 
-// reservation is a stream that another node sends to a group here.
+// reservation is a stream that another node is about to send to a group of this
+// zone.
 type reservation struct {
-	claimant Requester
-	until    time.Time
-	prompt   int
+	requester Requester
+	until     time.Time
+	prompt    int
 }
 
-// Reserve chooses a group of this zone for a stream that another node has, and
-// counts the stream, or says why none will do. Groups that are cold aren't
-// offered: who sends to them spends its own part of what they bear.
+// Reserve chooses a group of this zone for a stream of another node and counts the
+// stream at the group, or says why there is none. It doesn't offer cold groups:
+// each node that sends to them uses its own share of their rate.
 //
-// Guard: what a node knows of the load that others bring is old. All nodes see
-// the same group as the emptiest and choose it until they hear of each other:
-// its prompts wait for each other, its places run out, and first events come
-// late. Where one node chooses for all, it knows of each stream that it placed.
-func (t *Tracker) Reserve(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request, claimant Requester) (Choice, *Refusal) {
+// What a node knows of the load that others send is outdated. All nodes take the
+// same group for the emptiest and choose it until they learn of each other's load:
+// its prompts queue behind each other, its slots run out, and first events come
+// late. A single node that chooses for all knows each stream that it placed.
+func (t *Tracker) Reserve(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, request Request, requester Requester) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ask.bias = t.bias
-	look := &search{ask: ask, now: now, zonesOut: zonesOut, weigh: ask.weigh}
-	look.consider(t, heads, func(e *fleet.Endpoint) bool { return e.Zone == ask.Zone && !e.ColdAt(now) })
-	best := look.best
+	request.bias = t.bias
+	l := &lookup{request: request, now: now, zonesOut: zonesOut, evaluate: request.evaluateGroup}
+	l.consider(t, heads, func(e *fleet.Endpoint) bool { return e.Zone == request.Zone && !e.ColdAt(now) })
+	best := l.best
 	if best == nil {
-		return Choice{}, look.refusal()
+		return Choice{}, l.refusal()
 	}
-	if !ask.Resumed && best.predicted > ask.Objective {
-		return Choice{}, refusalOfLate(now, best, ask)
+	if !request.Resumed && best.predicted > request.Objective {
+		return Choice{}, lateRefusal(now, best, request)
 	}
-	best.state.reserve(now, claimant, ask.Prompt)
+	best.state.reserve(now, requester, request.Prompt)
 	limited := best.state.limit.limit.Named
-	lent, _ := best.state.limit.lend(now, ask.PermitShare) // it was weighed because there is one
+	granted, _ := best.state.limit.grant(now, request.PermitShare) // there is one, or the group would have been skipped
 	return Choice{
-		Endpoint: best.endpoint, Predicted: best.predicted, Running: best.running, Age: best.state.reportAge(now), Permitted: limited && lent,
+		Endpoint: best.endpoint, Predicted: best.predicted, Running: best.running, Age: best.state.reportAge(now), Permitted: limited && granted,
 	}, nil
 }
 
-// OtherZoneWithRoom returns another zone that may serve a stream in time, as far as this
-// node knows, "" if none has room.
+// OtherZoneWithRoom returns another zone that, as far as this node knows, may serve
+// a stream in time, "" if there is none.
 //
-// Gain: when all zones are full, each stream would ask every one of them before it is
-// refused. Those bytes cost, and so do the answers.
-func (t *Tracker) OtherZoneWithRoom(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, ask Request) string {
+// It saves traffic between zones: when all zones are full, each stream would
+// otherwise ask every one of them before it is refused.
+func (t *Tracker) OtherZoneWithRoom(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, request Request) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ask.bias = t.bias
-	ask.Nodes = 2       // this one, and all that it tells: what it told counts once
-	ask.PermitShare = 0 // other zones lend for their own endpoints
-	look := &search{ask: ask, now: now, zonesOut: zonesOut, weigh: ask.weigh}
-	look.consider(t, heads, func(e *fleet.Endpoint) bool { return e.Zone != ask.Zone && !e.ColdAt(now) })
-	best := look.best
-	if best == nil || best.predicted > ask.Objective {
+	request.bias = t.bias
+	request.Nodes = 2       // this node and all others together: unshared load counts once
+	request.PermitShare = 0 // other zones grant permits for their own endpoints
+	l := &lookup{request: request, now: now, zonesOut: zonesOut, evaluate: request.evaluateGroup}
+	l.consider(t, heads, func(e *fleet.Endpoint) bool { return e.Zone != request.Zone && !e.ColdAt(now) })
+	best := l.best
+	if best == nil || best.predicted > request.Objective {
 		return ""
 	}
-	best.state.sent = best.state.sent.With(now, ask.Prompt)
+	best.state.sent = best.state.sent.With(now, request.Prompt)
 	return best.endpoint.Zone
 }
 
-func (s *State) reserve(now time.Time, claimant Requester, prompt int) {
-	until := now.Add(reserveFor)
-	if claimant.Ticket > 0 {
-		until = now.Add(reserveUnsettled)
+func (s *State) reserve(now time.Time, requester Requester, prompt int) {
+	until := now.Add(reservationTTL)
+	if requester.Ticket > 0 {
+		until = now.Add(ownZoneReservationTTL)
 	}
-	s.reserved = append(s.reserved, reservation{claimant: claimant, until: until, prompt: prompt})
+	s.reserved = append(s.reserved, reservation{requester: requester, until: until, prompt: prompt})
 }
 
-// ReleaseReservations ends the reservations of a node of this zone whose streams are in the
-// loads that it told, which are those below a ticket.
+// ReleaseReservations ends those reservations of a node of this zone whose streams
+// are included in the loads that it shared: the ones with a ticket below the given
+// one.
 func (t *Tracker) ReleaseReservations(node string, below uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.states {
 		kept := s.reserved[:0]
 		for _, r := range s.reserved {
-			if r.claimant.Node != node || r.claimant.Ticket == 0 || r.claimant.Ticket >= below {
+			if r.requester.Node != node || r.requester.Ticket == 0 || r.requester.Ticket >= below {
 				kept = append(kept, r)
 			}
 		}
@@ -104,7 +106,8 @@
 	}
 }
 
-// reservedLoad returns what is reserved at the endpoint.
+// reservedLoad returns the load reserved at the endpoint and drops expired
+// reservations.
 func (s *State) reservedLoad(now time.Time) Load {
 	var sum Load
 	kept := s.reserved[:0]
@@ -118,12 +121,12 @@
 	return sum
 }
 
-// AcceptChoice notes that a request goes to an endpoint that another node chose.
-func (t *Tracker) AcceptChoice(now time.Time, e *fleet.Endpoint, ask Request, predicted time.Duration) Choice {
+// AcceptChoice starts an attempt at an endpoint that another node chose.
+func (t *Tracker) AcceptChoice(now time.Time, e *fleet.Endpoint, request Request, predicted time.Duration) Choice {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ask.bias = t.bias
-	c := ask.weigh(now, t.state(e.ID, now), e)
+	request.bias = t.bias
+	c := request.evaluateGroup(now, t.state(e.ID, now), e)
 	c.predicted = predicted
-	return t.take(now, &c, ask)
+	return t.take(now, &c, request)
 }
--- a/balance/retry_time.go
+++ b/balance/retry_time.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// retrySpread is over how many times a request's stay callers of full groups are
-// spread, as newcomers take a part of the places that come free.
+// retrySpread is the window over which retries are spread, in residence times of a
+// request. It is above 1 because new requests take part of the slots that get free.
 const retrySpread = 2
 
-// retryWhenFull returns when a caller may come back whom full groups turned away,
-// at least after a wait.
+// retryWhenFull returns after what time a caller refused by full groups should
+// retry, at least wait.
 //
-// Guard: the places that are taken now come free over the time that a request
-// stays. Told all the same short time, callers meet the same full groups, are
-// turned away again and give up. So they are spread over that time.
-func (a Request) retryWhenFull(wait time.Duration) time.Duration {
-	engine := a.Service.Engine
+// The occupied slots get free over the residence time of a request. If all callers
+// got the same short retry time, they would find the same groups full, be refused
+// again and give up. So retries are spread at random over that time.
+func (r Request) retryWhenFull(wait time.Duration) time.Duration {
+	engine := r.Service.Engine
 	if engine == nil {
 		return max(wait, retrySoon)
 	}
-	stays := NewPace(engine, a.Model, 1).residenceTime(engine.Slots)
+	stays := NewPace(engine, r.Model, 1).residenceTime(engine.Slots)
 	window := min(retrySpread*stays, retryLater-retrySoon)
 	return min(max(wait, retrySoon+rand.N(window+1)), retryLater)
 }
--- a/balance/places_test.go
+++ b/balance/slots_test.go
@@ -11,25 +11,26 @@
 	"redwinghall/fleet"
 )
 
-// preparation is what an endpoint spends on a request before it takes a place.
+// preparation is the time that an endpoint spends on a request before it gets a slot.
 const preparation = 110 * time.Millisecond
 
-// A request that its endpoint still prepares takes no place: with a tenth of their
-// time spent so, callers were refused while a tenth of the places was free.
-func TestRequestsWithoutAPlaceDoNotFillGroups(t *testing.T) {
+// A request that its endpoint is still preparing occupies no slot. When requests
+// spent a tenth of their time in preparation, and it counted as in a slot, callers
+// were refused while a tenth of the slots were free.
+func TestRequestsWithoutASlotDoNotFillGroups(t *testing.T) {
 	tracker := balance.NewTracker()
 	engine := &fleet.Engine{
 		Slots: 20, Step: 7800 * time.Microsecond, PerSequence: 95 * time.Microsecond, ReadPerSecond: 45900, Chunk: 2048, Stride: 6,
 		UsualPrompt: 760, UsualAnswer: 170, Models: []fleet.Model{{Name: "small", Size: 2, Share: 1, Pace: 0.6}},
 	}
-	one := ask()
+	one := newRequest()
 	one.Service, one.Model, one.Prompt, one.Objective = fleet.Service{Name: "llm", Engine: engine}, engine.Models[0], 674, 300*time.Millisecond
 	pace := balance.NewPace(engine, one.Model, 1)
 	usual := func(running int) time.Duration { return pace.Pass(running, 0) }
 	for i := range 500 {
 		heads := []*fleet.Endpoint{head("quiet-"+strconv.Itoa(i), "a", "small")}
-		choice, none := tracker.ChooseGroup(start, heads, nil, one)
-		require.Nil(t, none)
+		choice, refusal := tracker.ChooseGroup(start, heads, nil, one)
+		require.Nil(t, refusal)
 		at := start.Add(pace.FirstEvent(0, 0, one.Prompt) + preparation)
 		choice.Attempt.RecordEvent(at, usual)
 		choice.Attempt.Done(at, true)
@@ -38,8 +39,8 @@
 	refused := func(there int) *balance.Refusal {
 		tracker.ReleaseReservations("n2", 2)
 		tracker.SetOwnZoneLoads(start, map[string]balance.Load{"busy": {Requests: there}})
-		_, none := tracker.Reserve(start, busy, nil, one, balance.Requester{Node: "n2", Ticket: 1})
-		return none
+		_, refusal := tracker.Reserve(start, busy, nil, one, balance.Requester{Node: "n2", Ticket: 1})
+		return refusal
 	}
 	for there := range engine.Slots + 1 {
 		require.Nil(t, refused(there), "with %d requests there", there)
--- a/balance/tickets.go
+++ b/balance/tickets.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Tickets number what this node asks another one to choose. The zero value is
-// ready for use.
+// Tickets numbers the requests in which this node asks another one to choose an
+// endpoint, and tracks which are open. The zero value is ready for use.
 type Tickets struct {
 	mu   sync.Mutex
 	last uint64
@@ -22,15 +22,16 @@
 	return t.last
 }
 
-// Close ends a ticket: its stream counts among this node's own, or was not sent.
+// Close closes a ticket. Its stream is included in this node's loads or was not
+// sent.
 func (t *Tickets) Close(ticket uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.open, ticket)
 }
 
-// LowestOpen returns the lowest ticket that isn't closed. All streams of lower ones
-// are in loads that are read after this call.
+// LowestOpen returns the lowest open ticket, or the next one if none is open. Loads
+// that are read after this call include all streams of lower tickets.
 func (t *Tickets) LowestOpen() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -7,27 +7,27 @@
 	"redwinghall/fleet"
 )
 
-// What is remembered of an endpoint, and for how long.
+// How long the data about an endpoint is used and kept.
 const (
-	// loadTrust is how long an endpoint's own count of its load is used.
-	loadTrust = 2 * time.Second
-	// shareTrust is how long the loads that other nodes of the zone share are
-	// used; it outlasts a few of their messages that are lost.
-	shareTrust = 600 * time.Millisecond
-	// zonesTrust is the same of the other zones, which share theirs less often.
-	zonesTrust = 1500 * time.Millisecond
-	// farInterest is how long after a look at groups of other zones this node
-	// wants to hear of their loads.
-	farInterest = 3 * time.Second
-	// smoothing is the weight of one new observation in a mean.
+	// reportTTL is how long an endpoint's own report of its load is used.
+	reportTTL = 2 * time.Second
+	// ownZoneLoadTTL is how long the loads that other nodes of the zone share are
+	// used; it outlasts a few lost messages.
+	ownZoneLoadTTL = 600 * time.Millisecond
+	// otherZoneLoadTTL is the same for other zones, which share theirs less often.
+	otherZoneLoadTTL = 1500 * time.Millisecond
+	// otherZonesInterest is how long after considering groups of other zones this
+	// node wants to be told their loads.
+	otherZonesInterest = 3 * time.Second
+	// smoothing is the weight of a new observation in an exponential moving average.
 	smoothing = 0.15
-	// backoffFirst is how long an endpoint that refused a connection is left
-	// alone; it doubles up to backoffLongest, so that one request in a while
-	// finds out whether it is back.
-	backoffFirst   = 400 * time.Millisecond
-	backoffLongest = 3 * time.Second
-	// forgetAfter drops what is known of an endpoint without an entry. A limit is kept
-	// longer, as it holds until the endpoint says something else.
+	// minBackoff is the first backoff of an endpoint that refused a connection. It
+	// doubles up to maxBackoff, so that an occasional request finds out whether the
+	// endpoint is back.
+	minBackoff = 400 * time.Millisecond
+	maxBackoff = 3 * time.Second
+	// forgetAfter is how long the state of an unused endpoint is kept. A rate limit
+	// is kept longer, as it holds until the endpoint reports another one.
 	forgetAfter      = 30 * time.Second
 	forgetLimitAfter = 10 * time.Minute
 )
@@ -35,50 +35,51 @@
 // State is what this node knows of one endpoint. The tracker's lock guards it.
 type State struct {
 	id        string
-	own       int // requests of this node that are there
+	own       int // requests of this node in progress there
 	unstarted int // of these, streams without a first event
-	unread    int // prompt tokens of the unstarted
-	// reported is the endpoint's own count at reportedAt, ownAtReport this
-	// node's part of it.
+	unread    int // prompt tokens of the unstarted streams
+	// reported is the number of requests that the endpoint reported at reportedAt,
+	// ownAtReport this node's part of it.
 	reported    int
 	ownAtReport int
 	reportedAt  time.Time
 
-	shared   Load // what other nodes of the zone have
-	sharedAt time.Time
-	zones    Load // what the nodes of other zones have
-	zonesAt  time.Time
-	sent     recent // what this node sent
-	reserved []reservation
+	ownZoneLoad     Load // what other nodes of the zone have
+	ownZoneLoadAt   time.Time
+	otherZoneLoad   Load // what the nodes of other zones have
+	otherZoneLoadAt time.Time
+	sent            recentRequests // what this node sent
+	reserved        []reservation
 
 	lastEvent time.Time // of any stream
-	// waitingSince is when this node began to wait for an event without a break.
+	// waitingSince is the start of the current wait for an event, zero if this node
+	// has no request there.
 	waitingSince time.Time
-	slowdown     float64 // observed pace against the declared one
+	slowdown     float64 // observed pause between events over the predicted one, smoothed
 	latency      time.Duration
 	failures     float64 // smoothed share of failed requests
 
-	backoffUntil time.Time
-	backoff      time.Duration
-	complaints   []complaint
-	usedAt       time.Time
-	cold         bucket
-	limit        limitState
+	backoffUntil   time.Time
+	backoff        time.Duration
+	failureReports []failureReport
+	usedAt         time.Time
+	cold           bucket
+	limit          limitState
 }
 
-// Tracker keeps the states of all endpoints.
+// Tracker keeps the state of all endpoints.
 type Tracker struct {
-	// Tickets number what this node asks its zone's dispatcher.
+	// Tickets numbers the requests of this node to its zone's dispatcher.
 	Tickets Tickets
 
 	mu     sync.Mutex
 	states map[string]*State
-	// lookedFar is when a group of another zone was last considered.
-	lookedFar time.Time
+	// otherZonesConsideredAt is when a group of another zone was last considered.
+	otherZonesConsideredAt time.Time
 	// anyLimit says that an endpoint has named a limit.
 	anyLimit bool
-	// bias is how much later than predicted first events come: what the pace
-	// doesn't describe, as the way to the endpoint and its own start-up.
+	// bias is how much later than predicted first events come. It covers what Pace
+	// doesn't model, such as the network and the endpoint's preparation of a request.
 	bias time.Duration
 }
 
@@ -96,7 +97,8 @@
 	return s
 }
 
-// Forget drops states that were not used for long. Call it now and then.
+// Forget drops the state of endpoints that haven't been used for long. It has to be
+// called periodically.
 func (t *Tracker) Forget(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,38 +113,38 @@
 	}
 }
 
-// running estimates how many requests an endpoint has, from its last report and
-// from what this node sent and finished since, and from what the other nodes
-// of the zone say that they have.
+// running estimates how many requests an endpoint has, from its last report, from
+// what this node sent and finished since, and from the loads that other nodes share.
 func (s *State) running(now time.Time) int { return s.runningWith(now, s.others(now)) }
 
-// runningWith is the same with what others have.
+// runningWith is running with the loads of other nodes given.
 func (s *State) runningWith(now time.Time, others Load) int {
 	count := s.own + others.Requests
-	if s.reportedAt.IsZero() || now.Sub(s.reportedAt) > loadTrust {
+	if s.reportedAt.IsZero() || now.Sub(s.reportedAt) > reportTTL {
 		return count
 	}
 	return max(count, s.reported+s.own-s.ownAtReport)
 }
 
-// others returns what other nodes have at the endpoint, as far as known.
+// others returns the known load of other nodes at the endpoint, reservations
+// included.
 func (s *State) others(now time.Time) Load {
 	sum := s.reservedLoad(now)
-	if now.Sub(s.sharedAt) <= shareTrust {
-		sum = sum.With(s.shared)
+	if now.Sub(s.ownZoneLoadAt) <= ownZoneLoadTTL {
+		sum = sum.With(s.ownZoneLoad)
 	}
-	if now.Sub(s.zonesAt) <= zonesTrust {
-		sum = sum.With(s.zones)
+	if now.Sub(s.otherZoneLoadAt) <= otherZoneLoadTTL {
+		sum = sum.With(s.otherZoneLoad)
 	}
 	return sum
 }
 
-// reportAge returns how old the newest report of the endpoint's load is, from
-// itself or other nodes; negative if there was none.
+// reportAge returns the age of the newest report of the endpoint's load, by the
+// endpoint or other nodes of the zone; negative if there is none.
 func (s *State) reportAge(now time.Time) time.Duration {
 	newest := s.reportedAt
-	if s.sharedAt.After(newest) {
-		newest = s.sharedAt
+	if s.ownZoneLoadAt.After(newest) {
+		newest = s.ownZoneLoadAt
 	}
 	if newest.IsZero() {
 		return -1
@@ -150,20 +152,21 @@
 	return now.Sub(newest)
 }
 
-// MarkUnreachable notes that an endpoint didn't take a connection, or that nothing
-// moves there: it gets no request for a while.
+// MarkUnreachable records that an endpoint refused a connection or makes no
+// progress. It gets no requests during the backoff.
 func (t *Tracker) MarkUnreachable(now time.Time, id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state(id, now).backOff(now)
 }
 
-// backOff leaves the endpoint alone, longer each time. The lock is held.
+// backOff starts a backoff, twice as long as the previous one, unless one is
+// active. The lock is held.
 func (s *State) backOff(now time.Time) {
 	if now.Before(s.backoffUntil) {
 		return
 	}
-	s.backoff = min(max(2*s.backoff, backoffFirst), backoffLongest)
+	s.backoff = min(max(2*s.backoff, minBackoff), maxBackoff)
 	s.backoffUntil = now.Add(s.backoff)
 }
 
@@ -177,14 +180,14 @@
 	return 0
 }
 
-// Snapshot is what the tracker thinks of one endpoint, for logs.
+// Snapshot is the tracker's state of one endpoint, for logs.
 type Snapshot struct {
 	Own, Running, Unread int
 	Slowdown             float64
 	BackedOff            bool
 }
 
-// Snapshot returns what is known of an endpoint.
+// Snapshot returns the state of an endpoint.
 func (t *Tracker) Snapshot(now time.Time, e *fleet.Endpoint) Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -192,30 +195,32 @@
 	return Snapshot{Own: s.own, Running: s.running(now), Unread: s.unread, Slowdown: s.slowdown, BackedOff: now.Before(s.backoffUntil)}
 }
 
-// slowFactor is how many times slower than declared a group must work, as
-// observed, to be worth a look at its members.
+// slowFactor is the observed slowdown of a group above which its members should be
+// checked.
 const slowFactor = 2.5
 
-// SlowEndpoints returns the endpoints that work much slower than they should.
+// SlowEndpoints returns the ids of endpoints that are slower than declared by more
+// than slowFactor.
 func (t *Tracker) SlowEndpoints(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var slow []string
 	for id, s := range t.states {
-		if s.own > 0 && s.slowdown > slowFactor && now.Sub(s.lastEvent) < loadTrust {
+		if s.own > 0 && s.slowdown > slowFactor && now.Sub(s.lastEvent) < reportTTL {
 			slow = append(slow, id)
 		}
 	}
 	return slow
 }
 
-// movesFor is how long after an event a group counts as moving.
-const movesFor = time.Second
+// progressWindow is how long after an event a group counts as progressing.
+const progressWindow = time.Second
 
-// Progressing reports whether this node saw an event of an endpoint lately.
+// Progressing reports whether this node got an event from an endpoint within
+// progressWindow.
 func (t *Tracker) Progressing(now time.Time, id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.states[id]
-	return ok && now.Sub(s.lastEvent) < movesFor
+	return ok && now.Sub(s.lastEvent) < progressWindow
 }
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -16,26 +16,27 @@
 	"redwinghall/standin/passes"
 )
 
-// zoneLoad is the load of one availability zone whose groups have few places:
-// many nodes, each of which sees little of it.
-type zoneLoad struct {
+// zoneScenario is a load on one availability zone whose groups have few slots. Each of
+// its many nodes sees only a small part of the load.
+type zoneScenario struct {
 	nodes     int
 	groups    int
 	perSecond float64
-	// news is how often a node tells its loads and hears the others', and
-	// changedNews the same while its loads change.
-	news, changedNews time.Duration
-	// dispatched says that one node chooses for all.
+	// shareInterval is how often a node shares its loads and gets those of the others,
+	// changedInterval the same while its loads change.
+	shareInterval, changedInterval time.Duration
+	// dispatched says that one node chooses for all nodes.
 	dispatched bool
 	length     time.Duration
-	// burst says how many times as many requests come for some seconds.
-	burst       float64
-	from, until time.Duration
-	// returns says that callers who are refused come back once, when they were told to.
-	returns bool
+	// burst multiplies the request rate from burstFrom to burstUntil; 0 for no burst.
+	burst                 float64
+	burstFrom, burstUntil time.Duration
+	// retriesRefused says that refused callers retry once, after the time in the refusal.
+	retriesRefused bool
 }
 
-// The callers' wants, and the link between two nodes of a zone.
+// The objectives for the first event and for pauses between events, and the latency
+// between two nodes of a zone.
 const (
 	zoneObjective = 300 * time.Millisecond
 	zonePause     = 200 * time.Millisecond
@@ -50,46 +51,46 @@
 	}
 }
 
-// zonePlay is a load being played in virtual time.
-type zonePlay struct {
-	zoneLoad
-	now      time.Time
-	random   *rand.Rand
-	groups   []*passes.Group
-	heads    []*fleet.Endpoint
-	trackers []*balance.Tracker
-	tickets  []balance.Tickets
-	told     []map[string]balance.Load // by node: its loads as it last told
-	toldAt   []time.Time
-	queue    []timed
-	firsts   []time.Duration
-	sentBack int // callers who were refused and came back
+// zoneSimulation simulates a scenario in virtual time.
+type zoneSimulation struct {
+	zoneScenario
+	now         time.Time
+	random      *rand.Rand
+	groups      []*passes.Group
+	heads       []*fleet.Endpoint
+	trackers    []*balance.Tracker
+	tickets     []balance.Tickets
+	sharedLoads []map[string]balance.Load // by node: its loads as last shared
+	sharedAt    []time.Time
+	queue       []scheduled
+	firsts      []time.Duration
+	sentBack    int // callers who were refused and retried
 	outcome
 }
 
-// timed is something that happens at a moment.
-type timed struct {
+// scheduled is a function to be called at a time.
+type scheduled struct {
 	at time.Time
 	do func()
 }
 
-func (p *zonePlay) after(wait time.Duration, do func()) {
+func (p *zoneSimulation) after(wait time.Duration, do func()) {
 	at := p.now.Add(wait)
-	i, _ := slices.BinarySearchFunc(p.queue, at, func(one timed, at time.Time) int { return one.at.Compare(at) })
-	p.queue = slices.Insert(p.queue, i, timed{at, do})
+	i, _ := slices.BinarySearchFunc(p.queue, at, func(one scheduled, at time.Time) int { return one.at.Compare(at) })
+	p.queue = slices.Insert(p.queue, i, scheduled{at, do})
 }
 
-// play plays the load until all callers have their answers.
-func (l zoneLoad) play(seed uint64) *zonePlay {
-	p := &zonePlay{zoneLoad: l, now: start, random: rand.New(rand.NewPCG(seed, 7)), told: make([]map[string]balance.Load, l.nodes),
-		tickets: make([]balance.Tickets, l.nodes), toldAt: make([]time.Time, l.nodes)}
+// run simulates the scenario until all callers have their answers.
+func (l zoneScenario) run(seed uint64) *zoneSimulation {
+	p := &zoneSimulation{zoneScenario: l, now: start, random: rand.New(rand.NewPCG(seed, 7)), sharedLoads: make([]map[string]balance.Load, l.nodes),
+		tickets: make([]balance.Tickets, l.nodes), sharedAt: make([]time.Time, l.nodes)}
 	for i := range l.groups {
 		p.groups = append(p.groups, passes.NewGroup(zoneEngine(), zoneEngine().Models[0]))
 		p.heads = append(p.heads, head(strconv.Itoa(i), "a", "small"))
 	}
 	for i := range l.nodes {
 		p.trackers = append(p.trackers, balance.NewTracker())
-		p.after(time.Duration(i)*l.news/time.Duration(l.nodes), func() { p.tell(i) })
+		p.after(time.Duration(i)*l.shareInterval/time.Duration(l.nodes), func() { p.shareLoads(i) })
 	}
 	p.after(0, p.arrive)
 	for p.inTime+p.late+p.refused < p.asked || p.now.Before(start.Add(l.length)) {
@@ -98,8 +99,8 @@
 	return p
 }
 
-// step plays what comes next: the end of a group's pass, or the queue's first.
-func (p *zonePlay) step() {
+// step simulates the next event: the end of a group's pass or the head of the queue.
+func (p *zoneSimulation) step() {
 	next, which := p.queue[0].at, -1
 	for i, g := range p.groups {
 		if end, busy := g.Next(); busy && end.Before(next) {
@@ -116,15 +117,15 @@
 	first.do()
 }
 
-// tell hands a node's loads on, and gives it the sum of the others'. Node 0
-// hears of each word at once.
-func (p *zonePlay) tell(node int) {
-	p.after(p.changedNews, func() { p.tell(node) })
+// shareLoads shares a node's loads and sets the sum of the others' loads at the node.
+// Node 0, if it dispatches, gets each update at once.
+func (p *zoneSimulation) shareLoads(node int) {
+	p.after(p.changedInterval, func() { p.shareLoads(node) })
 	below, own := p.tickets[node].LowestOpen(), p.trackers[node].OwnLoads(p.now)
-	if p.now.Sub(p.toldAt[node]) < p.news && maps.Equal(own, p.told[node]) {
+	if p.now.Sub(p.sharedAt[node]) < p.shareInterval && maps.Equal(own, p.sharedLoads[node]) {
 		return
 	}
-	p.told[node], p.toldAt[node] = own, p.now
+	p.sharedLoads[node], p.sharedAt[node] = own, p.now
 	p.trackers[node].SetOwnZoneLoads(p.now, p.others(node))
 	if p.dispatched && node != 0 {
 		p.trackers[0].ReleaseReservations(strconv.Itoa(node), below)
@@ -132,9 +133,9 @@
 	}
 }
 
-func (p *zonePlay) others(node int) map[string]balance.Load {
+func (p *zoneSimulation) others(node int) map[string]balance.Load {
 	others := map[string]balance.Load{}
-	for i, loads := range p.told {
+	for i, loads := range p.sharedLoads {
 		if i == node {
 			continue
 		}
@@ -145,8 +146,9 @@
 	return others
 }
 
-// arrive takes one request in, and draws when the next comes, until the end.
-func (p *zonePlay) arrive() {
+// arrive sends one request and schedules the next one at a random time, until the end
+// of the scenario.
+func (p *zoneSimulation) arrive() {
 	if p.now.After(start.Add(p.length)) {
 		return
 	}
@@ -155,83 +157,83 @@
 	p.try(p.caller(), p.random.IntN(p.nodes))
 }
 
-// caller draws a request that arrives now.
-func (p *zonePlay) caller() caller {
+// caller returns a random request that arrives now.
+func (p *zoneSimulation) caller() caller {
 	return caller{
 		arrived: p.now,
 		prompt:  int(min(2340, p.random.ExpFloat64()*640+60)), answer: int(min(540, p.random.ExpFloat64()*200+10)),
 	}
 }
 
-// rate returns how many requests come in a second now.
-func (p *zonePlay) rate() float64 {
-	if at := p.now.Sub(start); p.burst > 0 && at >= p.from && at < p.until {
+// rate returns the current number of requests per second.
+func (p *zoneSimulation) rate() float64 {
+	if at := p.now.Sub(start); p.burst > 0 && at >= p.burstFrom && at < p.burstUntil {
 		return p.burst * p.perSecond
 	}
 	return p.perSecond
 }
 
-// caller is one request, and whether it came back after a refusal.
+// caller is one request; again says that it is a retry after a refusal.
 type caller struct {
 	arrived        time.Time
 	prompt, answer int
 	again          bool
 }
 
-// try sends a caller's request to a node.
-func (p *zonePlay) try(c caller, node int) {
+// try makes one attempt of a caller at a node.
+func (p *zoneSimulation) try(c caller, node int) {
 	if p.dispatched && node != 0 {
 		p.dispatch(node, c)
 		return
 	}
-	ask := p.ask(c.prompt)
-	ask.IsDispatcher = p.dispatched
-	choice, none := p.trackers[node].ChooseGroup(p.now, p.heads, nil, ask)
-	if none != nil {
-		p.refuse(c, none)
+	request := p.newRequest(c.prompt)
+	request.IsDispatcher = p.dispatched
+	choice, refusal := p.trackers[node].ChooseGroup(p.now, p.heads, nil, request)
+	if refusal != nil {
+		p.refuse(c, refusal)
 		return
 	}
 	p.send(c, choice)
 }
 
-// refuse lets a caller come back at another node, or counts it as refused.
-func (p *zonePlay) refuse(c caller, none *balance.Refusal) {
-	if !p.returns || c.again {
+// refuse schedules a retry at a random node, or counts the caller as refused.
+func (p *zoneSimulation) refuse(c caller, refusal *balance.Refusal) {
+	if !p.retriesRefused || c.again {
 		p.refused++
 		return
 	}
 	p.sentBack++
 	c.again = true
-	p.after(none.RetryAfter, func() { p.try(c, p.random.IntN(p.nodes)) })
+	p.after(refusal.RetryAfter, func() { p.try(c, p.random.IntN(p.nodes)) })
 }
 
-// dispatch asks node 0 to choose, which takes the way there and back.
-func (p *zonePlay) dispatch(node int, c caller) {
+// dispatch asks node 0 to choose, which takes the latency of a round trip.
+func (p *zoneSimulation) dispatch(node int, c caller) {
 	ticket := p.tickets[node].Open()
 	p.after(zoneHop, func() {
-		ask := p.ask(c.prompt)
-		ask.IsDispatcher = true
-		choice, none := p.trackers[0].Reserve(p.now, p.heads, nil, ask, balance.Requester{Node: strconv.Itoa(node), Ticket: ticket})
+		request := p.newRequest(c.prompt)
+		request.IsDispatcher = true
+		choice, refusal := p.trackers[0].Reserve(p.now, p.heads, nil, request, balance.Requester{Node: strconv.Itoa(node), Ticket: ticket})
 		p.after(zoneHop, func() {
 			defer p.tickets[node].Close(ticket)
-			if none != nil {
-				p.refuse(c, none)
+			if refusal != nil {
+				p.refuse(c, refusal)
 				return
 			}
-			p.send(c, p.trackers[node].AcceptChoice(p.now, choice.Endpoint, p.ask(c.prompt), choice.Predicted))
+			p.send(c, p.trackers[node].AcceptChoice(p.now, choice.Endpoint, p.newRequest(c.prompt), choice.Predicted))
 		})
 	})
 }
 
-func (p *zonePlay) ask(prompt int) balance.Request {
+func (p *zoneSimulation) newRequest(prompt int) balance.Request {
 	return balance.Request{
 		Service: fleet.Service{Name: "llm", Engine: zoneEngine()}, Model: zoneEngine().Models[0], Zone: "a", Prompt: prompt,
 		Objective: zoneObjective, Nodes: 5 * p.nodes, ZoneNodes: p.nodes, Node: "n",
 	}
 }
 
-// send hands a request to the group that was chosen.
-func (p *zonePlay) send(c caller, choice balance.Choice) {
+// send sends a request to the chosen group.
+func (p *zoneSimulation) send(c caller, choice balance.Choice) {
 	which, _ := strconv.Atoi(choice.Endpoint.ID)
 	first, last, slowest := time.Time{}, p.now, time.Duration(0)
 	usual := func(running int) time.Duration {
@@ -259,7 +261,7 @@
 	p.groups[which].Send(p.now, request)
 }
 
-func (p *zonePlay) String() string {
+func (p *zoneSimulation) String() string {
 	slices.Sort(p.firsts)
 	at := func(share float64) time.Duration {
 		return p.firsts[int(share*float64(len(p.firsts)-1))].Round(time.Millisecond)
@@ -268,25 +270,26 @@
 		p.share(p.refused), at(0.5), at(0.95))
 }
 
-// usualLoad is what the groups of a zone bear with some reserve, in requests a
-// second; lateAtMost is the share of what is taken that may come late.
+// usualLoad is what the groups of a zone can serve with some reserve, in requests per
+// second; lateAtMost is the share of accepted requests that may be late.
 const (
 	usualLoad  = 160
 	lateAtMost = 0.1
 )
 
-// Every node of a large zone sees the same group as the emptiest until it hears
-// of the others, so answers come late long before the zone is full. With one
-// node that chooses for all, lateness doesn't grow with the number of nodes.
+// All nodes of a large zone take the same group for the emptiest until they learn of
+// each other's load, so answers are late long before the zone is full. With one node
+// that chooses for all, the share of late answers doesn't grow with the number of
+// nodes.
 func TestZoneLoadServedInTime(t *testing.T) {
 	for _, times := range []float64{1, 1.5, 2.5} {
-		few := zoneLoad{nodes: 3, groups: 20, perSecond: times * usualLoad, news: newsOf(3), changedNews: newsOf(3), length: 15 * time.Second}.play(1)
+		few := zoneScenario{nodes: 3, groups: 20, perSecond: times * usualLoad, shareInterval: shareIntervalFor(3), changedInterval: shareIntervalFor(3), length: 15 * time.Second}.run(1)
 		t.Logf("%v times, 3 nodes, each chooses: %s", times, few)
 		for _, nodes := range []int{40, 195} {
-			load := zoneLoad{nodes: nodes, groups: 20, perSecond: times * usualLoad, news: newsOf(nodes), changedNews: newsOf(nodes), length: 15 * time.Second}
-			each := load.play(1)
-			load.dispatched, load.changedNews = true, newsOf(0)
-			one := load.play(1)
+			load := zoneScenario{nodes: nodes, groups: 20, perSecond: times * usualLoad, shareInterval: shareIntervalFor(nodes), changedInterval: shareIntervalFor(nodes), length: 15 * time.Second}
+			each := load.run(1)
+			load.dispatched, load.changedInterval = true, shareIntervalFor(0)
+			one := load.run(1)
 			t.Logf("%v times, %d nodes, each chooses: %s", times, nodes, each)
 			t.Logf("%v times, %d nodes, one chooses: %s", times, nodes, one)
 			require.LessOrEqual(t, float64(one.late), lateAtMost*float64(one.late+one.inTime))
@@ -295,30 +298,30 @@
 	}
 }
 
-// newsOf is how often each of some nodes tells its loads.
-func newsOf(nodes int) time.Duration {
+// shareIntervalFor returns how often each of a number of nodes shares its loads.
+func shareIntervalFor(nodes int) time.Duration {
 	return max(60*time.Millisecond, time.Duration(nodes)*2500*time.Microsecond)
 }
 
-// refusedAgainAtMost is the part of those who come back when they were told to
-// that may find no place again.
+// refusedAgainAtMost is the share of retries that may be refused again.
 const refusedAgainAtMost = 0.1
 
-// Callers whom a short burst turned away come back when they were told to, and
-// find a place: told all the same short time, they meet the same full groups.
-func TestRefusedCallersComeBackToFreePlaces(t *testing.T) {
+// Callers that were refused during a short burst find free slots when they retry at
+// the time they were given. With the same short time for all, they would find the
+// same groups full.
+func TestRefusedCallersRetrySuccessfully(t *testing.T) {
 	for _, lasts := range []time.Duration{time.Second, 3 * time.Second, 8 * time.Second} {
-		load := zoneLoad{
-			nodes: 40, groups: 20, perSecond: usualLoad, news: newsOf(40), changedNews: newsOf(0), dispatched: true, length: 20 * time.Second,
-			burst: 2.5, from: 4 * time.Second, until: 4*time.Second + lasts, returns: true,
+		load := zoneScenario{
+			nodes: 40, groups: 20, perSecond: usualLoad, shareInterval: shareIntervalFor(40), changedInterval: shareIntervalFor(0), dispatched: true, length: 20 * time.Second,
+			burst: 2.5, burstFrom: 4 * time.Second, burstUntil: 4*time.Second + lasts, retriesRefused: true,
 		}
 		sentBack, refused := 0, 0
 		for seed := range uint64(3) {
-			back := load.play(seed)
+			back := load.run(seed)
 			t.Logf("burst of %s: sent back %d, refused again %d: %s", lasts, back.sentBack, back.refused, back)
 			sentBack, refused = sentBack+back.sentBack, refused+back.refused
 		}
-		if lasts <= time.Second { // while a longer one lasts there are no places to come back to
+		if lasts <= time.Second { // during a longer burst there are no free slots to retry for
 			require.LessOrEqual(t, float64(refused), refusedAgainAtMost*float64(sentBack))
 		}
 	}
--- a/health/health.go
+++ b/health/health.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// observeOutsideGroup handles a report that names another group or generation. If the
-// member was never seen in the group, the order to join may still be in transit;
-// otherwise the member has left and the group is broken.
+// observeOutsideGroup handles a report that names another group or generation. If
+// the member was never seen in the group, the order to join may still be in
+// transit; otherwise the member has left and the group is broken.
 func (t *Tracker) observeOutsideGroup(member int) {
 	t.ready[member] = false
 	t.seenAt[member] = time.Time{}
