--- a/node/node.go
+++ b/node/node.go
@@ -63,7 +63,7 @@
 	conns     *connections
 	rosters   rosterCache
 	// avoided are dispatchers that gave no answer.
-	avoided *relay.Avoided
+	avoided *relay.PeerBackoff
 	callers net.Listener
 }
 
--- a/relay/avoid.go
+++ b/relay/avoid.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Avoided remembers which nodes failed, and for how long each is left alone.
-type Avoided struct {
+// PeerBackoff remembers which nodes failed, and for how long each is left alone.
+type PeerBackoff struct {
 	first, longest time.Duration
 
 	mu    sync.Mutex
@@ -20,12 +20,12 @@
 
 // NewAvoided returns a memory in which nothing failed. A node is left alone for
 // first; each further failure doubles that up to longest.
-func NewAvoided(first, longest time.Duration) *Avoided {
-	return &Avoided{first: first, longest: longest, nodes: map[string]avoidedNode{}}
+func NewAvoided(first, longest time.Duration) *PeerBackoff {
+	return &PeerBackoff{first: first, longest: longest, nodes: map[string]avoidedNode{}}
 }
 
 // Failed notes that a node failed.
-func (a *Avoided) Failed(now time.Time, name string) {
+func (a *PeerBackoff) Failed(now time.Time, name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	one := a.nodes[name]
@@ -38,21 +38,21 @@
 }
 
 // Worked forgets that a node failed before.
-func (a *Avoided) Worked(name string) {
+func (a *PeerBackoff) Worked(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.nodes, name)
 }
 
 // Has reports whether a node is left alone now.
-func (a *Avoided) Has(now time.Time, name string) bool {
+func (a *PeerBackoff) Has(now time.Time, name string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !now.After(a.nodes[name].until)
 }
 
 // First returns the first of some nodes that isn't left alone.
-func (a *Avoided) First(now time.Time, nodes []Peer) (Peer, bool) {
+func (a *PeerBackoff) First(now time.Time, nodes []Peer) (Peer, bool) {
 	for _, one := range nodes {
 		if !a.Has(now, one.Name) {
 			return one, true
--- a/relay/source.go
+++ b/relay/source.go
@@ -81,7 +81,7 @@
 type Source struct {
 	config Config
 
-	avoided *Avoided
+	avoided *PeerBackoff
 	mu      sync.Mutex
 	mirrors map[string]*Mirror
 	// answered is when the store last answered this node itself, in Unix nanoseconds.
