--- a/node/node.go
+++ b/node/node.go
@@ -73,7 +73,7 @@
 	n := &Node{
 		path: path, settings: s, book: directory.NewBook(), tracker: balance.NewTracker(), upstream: gateway.NewUpstream(),
 		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), board: neighbor.NewBoard(),
-		avoided: relay.NewAvoided(dispatcherFirst, dispatcherLongest),
+		avoided: relay.NewPeerBackoff(dispatcherFirst, dispatcherLongest),
 	}
 	n.source = relay.NewSource(relay.Config{
 		Store: store, Asker: n.neighbors, Self: s.Node, Peers: n.peers, Others: n.foreigners, Leader: n.leader, Same: sameValue,
--- a/relay/avoid.go
+++ b/relay/avoid.go
@@ -18,9 +18,9 @@
 	pause time.Duration
 }
 
-// NewAvoided returns a memory in which nothing failed. A node is left alone for
+// NewPeerBackoff returns a memory in which nothing failed. A node is left alone for
 // first; each further failure doubles that up to longest.
-func NewAvoided(first, longest time.Duration) *PeerBackoff {
+func NewPeerBackoff(first, longest time.Duration) *PeerBackoff {
 	return &PeerBackoff{first: first, longest: longest, nodes: map[string]avoidedNode{}}
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -149,7 +149,7 @@
 
 // A node that fails is left alone, longer each time, until it works again.
 func TestAvoided(t *testing.T) {
-	a := relay.NewAvoided(time.Second, 3*time.Second)
+	a := relay.NewPeerBackoff(time.Second, 3*time.Second)
 	now, peers := time.Unix(100, 0), []relay.Peer{{Name: "x"}, {Name: "y"}}
 	first := func(at time.Time) string {
 		one, _ := a.First(at, peers)
--- a/relay/source.go
+++ b/relay/source.go
@@ -97,7 +97,7 @@
 // NewSource returns a source that has read nothing.
 func NewSource(config Config) *Source {
 	return &Source{
-		config: config, avoided: NewAvoided(backoffFirst, backoffLongest), mirrors: map[string]*Mirror{}, probeAt: map[string]time.Time{},
+		config: config, avoided: NewPeerBackoff(backoffFirst, backoffLongest), mirrors: map[string]*Mirror{}, probeAt: map[string]time.Time{},
 	}
 }
 
