--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -42,7 +42,7 @@
 // undispatched notes that a dispatcher gave no answer.
 func (n *Node) undispatched(now time.Time, zone string, peer relay.Peer, err error) {
 	klog.InfoS("dispatcher_silent", "zone", zone, "node", peer.Name, "err", err)
-	n.avoided.Failed(now, peer.Name)
+	n.avoided.RecordFailure(now, peer.Name)
 }
 
 // told takes in that a node of the zone has told its loads.
--- a/relay/avoid.go
+++ b/relay/avoid.go
@@ -24,8 +24,8 @@
 	return &PeerBackoff{first: first, longest: longest, nodes: map[string]avoidedNode{}}
 }
 
-// Failed notes that a node failed.
-func (a *PeerBackoff) Failed(now time.Time, name string) {
+// RecordFailure notes that a node failed.
+func (a *PeerBackoff) RecordFailure(now time.Time, name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	one := a.nodes[name]
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -156,14 +156,14 @@
 		return one.Name
 	}
 	require.Equal(t, "x", first(now))
-	a.Failed(now, "x")
-	a.Failed(now.Add(10*time.Millisecond), "x")
+	a.RecordFailure(now, "x")
+	a.RecordFailure(now.Add(10*time.Millisecond), "x")
 	require.Equal(t, "y", first(now.Add(900*time.Millisecond)))
 	require.Equal(t, "x", first(now.Add(1100*time.Millisecond)), "calls that fail together count once")
-	a.Failed(now.Add(2*time.Second), "x")
+	a.RecordFailure(now.Add(2*time.Second), "x")
 	require.Equal(t, "y", first(now.Add(3900*time.Millisecond)))
 	a.Worked("x")
-	a.Failed(now.Add(10*time.Second), "x")
+	a.RecordFailure(now.Add(10*time.Second), "x")
 	require.Equal(t, "x", first(now.Add(11100*time.Millisecond)))
 }
 
--- a/relay/source.go
+++ b/relay/source.go
@@ -244,7 +244,7 @@
 	}
 	at, helped := s.config.Asker.Commit(ctx, peer.Address, txn)
 	if redwinghall.KindOf[fleet.StoreKind](helped) == fleet.StoreUnavailable {
-		s.avoided.Failed(time.Now(), peer.Name)
+		s.avoided.RecordFailure(time.Now(), peer.Name)
 	}
 	return at, helped
 }
@@ -309,7 +309,7 @@
 		// It works, but the store doesn't answer it: perhaps nobody.
 		return Answer{}, redwinghall.NewOpError("Source.ask", fleet.StoreAway, err)
 	}
-	s.avoided.Failed(time.Now(), peer.Name)
+	s.avoided.RecordFailure(time.Now(), peer.Name)
 	return Answer{}, redwinghall.NewOpError("Source.ask", fleet.StoreUnavailable, err)
 }
 
