--- a/node/permit.go
+++ b/node/permit.go
@@ -30,7 +30,7 @@
 	}
 	permit, err := n.neighbors.Permit(ctx, peer.Address, e.Zone, known)
 	if err == nil {
-		n.avoided.Worked(peer.Name)
+		n.avoided.RecordSuccess(peer.Name)
 		return permit, true
 	}
 	if ctx.Err() == nil { // else the caller left
--- a/node/placement.go
+++ b/node/placement.go
@@ -43,7 +43,7 @@
 	request.Node = p.node.settings.Node
 	placement, err := p.node.neighbors.Reserve(ctx, peer.Address, request)
 	if err == nil {
-		p.node.avoided.Worked(peer.Name)
+		p.node.avoided.RecordSuccess(peer.Name)
 		return placement, true
 	}
 	if ctx.Err() == nil { // else the caller left
--- a/relay/avoid.go
+++ b/relay/avoid.go
@@ -37,8 +37,8 @@
 	a.nodes[name] = one
 }
 
-// Worked forgets that a node failed before.
-func (a *PeerBackoff) Worked(name string) {
+// RecordSuccess forgets that a node failed before.
+func (a *PeerBackoff) RecordSuccess(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.nodes, name)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -162,7 +162,7 @@
 	require.Equal(t, "x", first(now.Add(1100*time.Millisecond)), "calls that fail together count once")
 	a.RecordFailure(now.Add(2*time.Second), "x")
 	require.Equal(t, "y", first(now.Add(3900*time.Millisecond)))
-	a.Worked("x")
+	a.RecordSuccess("x")
 	a.RecordFailure(now.Add(10*time.Second), "x")
 	require.Equal(t, "x", first(now.Add(11100*time.Millisecond)))
 }
--- a/relay/source.go
+++ b/relay/source.go
@@ -300,7 +300,7 @@
 	case err == nil && answer.Rows.At.Era < s.era.Load():
 		err = redwinghall.NewOpError("Source.ask", fleet.StoreAway, errEarlierEra)
 	case err == nil && answer.Age <= trust:
-		s.avoided.Worked(peer.Name)
+		s.avoided.RecordSuccess(peer.Name)
 		s.noteEra(answer.Rows.At)
 		return answer, nil
 	}
