--- a/node/sharing.go
+++ b/node/sharing.go
@@ -75,7 +75,7 @@
 		return
 	}
 	for _, peer := range s.node.peers() {
-		if peer.Name != s.node.settings.Node && !s.node.avoided.Has(now, peer.Name) {
+		if peer.Name != s.node.settings.Node && !s.node.avoided.InBackoff(now, peer.Name) {
 			s.ask(ctx, now, peer, word)
 			return
 		}
--- a/relay/avoid.go
+++ b/relay/avoid.go
@@ -44,8 +44,8 @@
 	delete(a.nodes, name)
 }
 
-// Has reports whether a node is left alone now.
-func (a *PeerBackoff) Has(now time.Time, name string) bool {
+// InBackoff reports whether a node is left alone now.
+func (a *PeerBackoff) InBackoff(now time.Time, name string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !now.After(a.nodes[name].until)
@@ -54,7 +54,7 @@
 // First returns the first of some nodes that isn't left alone.
 func (a *PeerBackoff) First(now time.Time, nodes []Peer) (Peer, bool) {
 	for _, one := range nodes {
-		if !a.Has(now, one.Name) {
+		if !a.InBackoff(now, one.Name) {
 			return one, true
 		}
 	}
--- a/relay/peers.go
+++ b/relay/peers.go
@@ -48,7 +48,7 @@
 func (s *Source) helper(now time.Time) (Peer, bool) {
 	for _, group := range [][]Peer{s.config.Peers(), s.config.Others()} {
 		for _, one := range Ranked(group, Reading) {
-			if one.Name != s.config.Self && !s.avoided.Has(now, one.Name) {
+			if one.Name != s.config.Self && !s.avoided.InBackoff(now, one.Name) {
 				return one, true
 			}
 		}
