--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -30,7 +30,7 @@
 	if len(peers) <= fewNodes {
 		return relay.Peer{}, false
 	}
-	return n.avoided.First(now, peers)
+	return n.avoided.FirstAvailable(now, peers)
 }
 
 // dispatches reports whether this node chooses groups for all nodes of its zone.
@@ -55,7 +55,7 @@
 
 // gathers reports whether the nodes of this zone tell this one their loads.
 func (n *Node) gathers(now time.Time) bool {
-	first, ok := n.avoided.First(now, n.peers())
+	first, ok := n.avoided.FirstAvailable(now, n.peers())
 	return ok && first.Name == n.settings.Node
 }
 
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		g.Every("share_zone "+zone, zoneInterval, func(ctx context.Context, now time.Time) {
-			theirs, ok := n.avoided.First(now, n.peersOf(zone))
+			theirs, ok := n.avoided.FirstAvailable(now, n.peersOf(zone))
 			if !ok || !n.gathers(now) {
 				return
 			}
--- a/node/permit.go
+++ b/node/permit.go
@@ -21,7 +21,7 @@
 // answers lends. Who can't ask it sends nothing there.
 func (l lender) Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (balance.Permit, bool) {
 	n := l.node
-	peer, ok := n.avoided.First(time.Now(), n.lenders(e.Zone))
+	peer, ok := n.avoided.FirstAvailable(time.Now(), n.lenders(e.Zone))
 	switch {
 	case !ok:
 		return balance.Permit{}, false
--- a/node/placement.go
+++ b/node/placement.go
@@ -55,7 +55,7 @@
 
 // asked returns the node that chooses for a zone: its dispatcher, or the one that gathers its loads.
 func (p *zonePlacer) asked(now time.Time, zone string) (relay.Peer, bool) {
-	return p.node.avoided.First(now, p.node.peersOf(zone))
+	return p.node.avoided.FirstAvailable(now, p.node.peersOf(zone))
 }
 
 func (p *zonePlacer) paused(now time.Time, zone string) bool {
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -64,7 +64,7 @@
 		s.learnLimits(ctx, now, word)
 		return
 	}
-	if peer, ok := n.avoided.First(now, n.peers()); ok {
+	if peer, ok := n.avoided.FirstAvailable(now, n.peers()); ok {
 		s.ask(ctx, now, peer, word)
 	}
 }
--- a/relay/avoid.go
+++ b/relay/avoid.go
@@ -51,8 +51,8 @@
 	return !now.After(a.nodes[name].until)
 }
 
-// First returns the first of some nodes that isn't left alone.
-func (a *PeerBackoff) First(now time.Time, nodes []Peer) (Peer, bool) {
+// FirstAvailable returns the first of some nodes that isn't left alone.
+func (a *PeerBackoff) FirstAvailable(now time.Time, nodes []Peer) (Peer, bool) {
 	for _, one := range nodes {
 		if !a.InBackoff(now, one.Name) {
 			return one, true
--- a/relay/peers.go
+++ b/relay/peers.go
@@ -37,7 +37,7 @@
 	if len(peers) <= maxDirectReaders {
 		return Peer{}, false
 	}
-	one, ok := s.avoided.First(now, leaderFirst(Ranked(peers, Reading), s.config.Leader()))
+	one, ok := s.avoided.FirstAvailable(now, leaderFirst(Ranked(peers, Reading), s.config.Leader()))
 	if one.Name == s.config.Self {
 		return Peer{}, false
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -152,7 +152,7 @@
 	a := relay.NewPeerBackoff(time.Second, 3*time.Second)
 	now, peers := time.Unix(100, 0), []relay.Peer{{Name: "x"}, {Name: "y"}}
 	first := func(at time.Time) string {
-		one, _ := a.First(at, peers)
+		one, _ := a.FirstAvailable(at, peers)
 		return one.Name
 	}
 	require.Equal(t, "x", first(now))
