--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -61,7 +61,7 @@
 	_, err := client.List(ctx, address, "t")
 	require.Equal(t, fleet.StoreUnavailable, redwinghall.KindOf[fleet.StoreKind](err), "it has read nothing yet")
 	rows := []fleet.Row{{Table: "t", Key: "a", Value: []byte{0, 1}, Version: 4}, {Table: "t", Key: "b", Version: 6, Removed: true}}
-	o.mirror.Listed(time.Now(), fleet.Rows{At: fleet.Position{Version: 5}, Rows: rows[:1]})
+	o.mirror.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 5}, Rows: rows[:1]})
 	o.mirror.Changed(time.Now(), fleet.Position{Version: 5}, fleet.Rows{At: fleet.Position{Version: 6}, Rows: rows[1:]})
 	list, err := client.List(ctx, address, "t")
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 	for i := range 880 {
 		rows = append(rows, fleet.Row{Table: "t", Key: fmt.Sprint("i-", 1000+i), Value: []byte(strings.Repeat(`{"service":"llm"}`, 25)), Version: int64(i + 1)})
 	}
-	o.mirror.Listed(time.Now(), fleet.Rows{At: fleet.Position{Version: 900}, Rows: rows})
+	o.mirror.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 900}, Rows: rows})
 	for range 2 {
 		list, err := client.List(context.Background(), address, "t")
 		require.NoError(t, err)
--- a/relay/era_test.go
+++ b/relay/era_test.go
@@ -16,8 +16,8 @@
 // would hear nothing of rows that are written below it.
 func TestMirrorOfANewEra(t *testing.T) {
 	m := relay.NewMirror(nil)
-	m.Listed(time.Now(), fleet.Rows{At: fleet.Position{Era: 1, Version: 90}, Rows: []fleet.Row{row("a", 3), row("lost", 80)}})
-	m.Listed(time.Now(), fleet.Rows{At: fleet.Position{Era: 2, Version: 50}, Rows: []fleet.Row{row("a", 3)}})
+	m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Era: 1, Version: 90}, Rows: []fleet.Row{row("a", 3), row("lost", 80)}})
+	m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Era: 2, Version: 50}, Rows: []fleet.Row{row("a", 3)}})
 	list, err := m.List(context.Background())
 	require.NoError(t, err)
 	require.Equal(t, fleet.Position{Era: 2, Version: 50}, list.Rows.At)
@@ -32,7 +32,7 @@
 	_, err = m.Changes(context.Background(), fleet.Position{Era: 3, Version: 1}, time.Second)
 	require.Equal(t, fleet.StoreAway, redwinghall.KindOf[fleet.StoreKind](err), "who knows a newer era gets nothing here")
 
-	m.Listed(time.Now(), fleet.Rows{At: fleet.Position{Era: 1, Version: 95}, Rows: []fleet.Row{row("lost", 80)}})
+	m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Era: 1, Version: 95}, Rows: []fleet.Row{row("lost", 80)}})
 	list, err = m.List(context.Background())
 	require.NoError(t, err)
 	require.Equal(t, int64(2), list.Rows.At.Era)
@@ -61,12 +61,12 @@
 	}
 	for name, s := range sources {
 		stores[name].rows = now(2, 4)
-		s.Mirror("t").Listed(time.Now(), now(1, 9))
+		s.Mirror("t").ApplyList(time.Now(), now(1, 9))
 	}
 	for name, s := range sources {
 		_, err := s.Commit(context.Background(), fleet.Txn{}) // its answer names the era
 		require.NoError(t, err)
-		s.Mirror("other").Listed(time.Now(), now(2, 4))
+		s.Mirror("other").ApplyList(time.Now(), now(2, 4))
 		rows, err := s.List(context.Background(), "t")
 		require.NoError(t, err, name)
 		require.Equal(t, int64(2), rows.At.Era, name)
--- a/relay/mirror.go
+++ b/relay/mirror.go
@@ -46,12 +46,12 @@
 	return &Mirror{rows: map[string]fleet.Row{}, removed: map[string]time.Time{}, same: same, changed: make(chan struct{})}
 }
 
-// Listed takes in a whole table. Rows that it lacks are gone as of its position.
+// ApplyList takes in a whole table. Rows that it lacks are gone as of its position.
 //
 // Guard: after the store came back older, its versions are lower than those before. The
 // list of a new era replaces all, and those who follow by the old one list again; one of an
 // earlier era is of no use.
-func (m *Mirror) Listed(now time.Time, rows fleet.Rows) {
+func (m *Mirror) ApplyList(now time.Time, rows fleet.Rows) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if rows.At.Era < m.at.Era {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -39,7 +39,7 @@
 		m := relay.NewMirror(nil)
 		_, err := m.List(context.Background())
 		require.Equal(t, fleet.StoreUnavailable, redwinghall.KindOf[fleet.StoreKind](err), "nothing was read yet")
-		m.Listed(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}, Rows: []fleet.Row{row("a", 3), row("b", 4)}})
+		m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}, Rows: []fleet.Row{row("a", 3), row("b", 4)}})
 		gone := row("a", 12)
 		gone.Removed = true
 		m.Changed(time.Now(), fleet.Position{Version: 10}, fleet.Rows{At: fleet.Position{Version: 12}, Rows: []fleet.Row{gone, row("c", 11)}})
@@ -61,7 +61,7 @@
 func TestMirrorPassesOnOnlyNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := relay.NewMirror(bytes.Equal)
-		m.Listed(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}, Rows: []fleet.Row{row("a", 3), row("b", 4)}})
+		m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}, Rows: []fleet.Row{row("a", 3), row("b", 4)}})
 		again, other := row("a", 11), row("b", 12)
 		other.Value = []byte("changed")
 		news := m.Changed(time.Now(), fleet.Position{Version: 10}, fleet.Rows{At: fleet.Position{Version: 12}, Rows: []fleet.Row{again, other}})
@@ -88,7 +88,7 @@
 
 func TestMirrorWithAGapAnswersNothing(t *testing.T) {
 	m := relay.NewMirror(nil)
-	m.Listed(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}})
+	m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}})
 	m.Changed(time.Now(), fleet.Position{Version: 20}, fleet.Rows{At: fleet.Position{Version: 21}, Rows: []fleet.Row{row("x", 21)}})
 	_, err := m.List(context.Background())
 	require.Error(t, err)
@@ -103,7 +103,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := relay.NewMirror(nil)
-				m.Listed(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}})
+				m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}})
 				started := time.Now()
 				if lose {
 					time.AfterFunc(100*time.Millisecond, m.Lost)
--- a/relay/source.go
+++ b/relay/source.go
@@ -121,7 +121,7 @@
 	if follows {
 		var answer Answer
 		if answer, asked = s.ask(peer, table, listStaleAfter, list); asked == nil {
-			s.Mirror(table).Listed(time.Now().Add(-answer.Age), answer.Rows)
+			s.Mirror(table).ApplyList(time.Now().Add(-answer.Age), answer.Rows)
 			return answer.Rows, nil
 		}
 	}
@@ -131,7 +131,7 @@
 		return s.askOthers(table, listStaleAfter, err, list)
 	}
 	s.avoidIfAway(peer, asked)
-	s.Mirror(table).Listed(time.Now(), rows)
+	s.Mirror(table).ApplyList(time.Now(), rows)
 	return rows, nil
 }
 
