--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -62,7 +62,7 @@
 	require.Equal(t, fleet.StoreUnavailable, redwinghall.KindOf[fleet.StoreKind](err), "it has read nothing yet")
 	rows := []fleet.Row{{Table: "t", Key: "a", Value: []byte{0, 1}, Version: 4}, {Table: "t", Key: "b", Version: 6, Removed: true}}
 	o.mirror.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 5}, Rows: rows[:1]})
-	o.mirror.Changed(time.Now(), fleet.Position{Version: 5}, fleet.Rows{At: fleet.Position{Version: 6}, Rows: rows[1:]})
+	o.mirror.ApplyChanges(time.Now(), fleet.Position{Version: 5}, fleet.Rows{At: fleet.Position{Version: 6}, Rows: rows[1:]})
 	list, err := client.List(ctx, address, "t")
 	require.NoError(t, err)
 	require.Equal(t, rows[:1], list.Rows.Rows)
@@ -89,7 +89,7 @@
 		require.Equal(t, rows, list.Rows.Rows)
 	}
 	change := fleet.Row{Table: "t", Key: "i-1000", Value: []byte("new"), Version: 901}
-	o.mirror.Changed(time.Now(), fleet.Position{Version: 900}, fleet.Rows{At: fleet.Position{Version: 901}, Rows: []fleet.Row{change}})
+	o.mirror.ApplyChanges(time.Now(), fleet.Position{Version: 900}, fleet.Rows{At: fleet.Position{Version: 901}, Rows: []fleet.Row{change}})
 	list, err := client.List(context.Background(), address, "t")
 	require.NoError(t, err)
 	require.Equal(t, append(rows[1:], change), list.Rows.Rows)
--- a/relay/era_test.go
+++ b/relay/era_test.go
@@ -23,7 +23,7 @@
 	require.Equal(t, fleet.Position{Era: 2, Version: 50}, list.Rows.At)
 	require.Len(t, list.Rows.Rows, 1)
 
-	m.Changed(time.Now(), fleet.Position{Era: 2, Version: 50}, fleet.Rows{At: fleet.Position{Era: 2, Version: 51}, Rows: []fleet.Row{row("b", 51)}})
+	m.ApplyChanges(time.Now(), fleet.Position{Era: 2, Version: 50}, fleet.Rows{At: fleet.Position{Era: 2, Version: 51}, Rows: []fleet.Row{row("b", 51)}})
 	changes, err := m.Changes(context.Background(), fleet.Position{Era: 2, Version: 50}, time.Second)
 	require.NoError(t, err)
 	require.Equal(t, []string{"b"}, keys(changes.Rows.Rows))
--- a/relay/mirror.go
+++ b/relay/mirror.go
@@ -77,12 +77,12 @@
 	return m.whole && after.Era == m.at.Era && after.Version <= m.at.Version
 }
 
-// Changed takes in changes of the table after a position. It returns those that
+// ApplyChanges takes in changes of the table after a position. It returns those that
 // say something new.
 //
 // Gain: endpoints rewrite their entries as heartbeats, nearly always with nothing
 // new. Those writes are not passed on, which saves bytes between nodes.
-func (m *Mirror) Changed(now time.Time, after fleet.Position, rows fleet.Rows) fleet.Rows {
+func (m *Mirror) ApplyChanges(now time.Time, after fleet.Position, rows fleet.Rows) fleet.Rows {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.whole = m.follows(after)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -42,7 +42,7 @@
 		m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}, Rows: []fleet.Row{row("a", 3), row("b", 4)}})
 		gone := row("a", 12)
 		gone.Removed = true
-		m.Changed(time.Now(), fleet.Position{Version: 10}, fleet.Rows{At: fleet.Position{Version: 12}, Rows: []fleet.Row{gone, row("c", 11)}})
+		m.ApplyChanges(time.Now(), fleet.Position{Version: 10}, fleet.Rows{At: fleet.Position{Version: 12}, Rows: []fleet.Row{gone, row("c", 11)}})
 		list, err := m.List(context.Background())
 		require.NoError(t, err)
 		require.Equal(t, []string{"b", "c"}, keys(list.Rows.Rows))
@@ -64,7 +64,7 @@
 		m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}, Rows: []fleet.Row{row("a", 3), row("b", 4)}})
 		again, other := row("a", 11), row("b", 12)
 		other.Value = []byte("changed")
-		news := m.Changed(time.Now(), fleet.Position{Version: 10}, fleet.Rows{At: fleet.Position{Version: 12}, Rows: []fleet.Row{again, other}})
+		news := m.ApplyChanges(time.Now(), fleet.Position{Version: 10}, fleet.Rows{At: fleet.Position{Version: 12}, Rows: []fleet.Row{again, other}})
 		require.Equal(t, []string{"b"}, keys(news.Rows))
 		changes, err := m.Changes(context.Background(), fleet.Position{Version: 10}, time.Second)
 		require.NoError(t, err)
@@ -72,7 +72,7 @@
 		require.Equal(t, int64(12), changes.Rows.At.Version)
 
 		started := time.Now()
-		m.Changed(time.Now(), fleet.Position{Version: 12}, fleet.Rows{At: fleet.Position{Version: 13}, Rows: []fleet.Row{row("a", 13)}})
+		m.ApplyChanges(time.Now(), fleet.Position{Version: 12}, fleet.Rows{At: fleet.Position{Version: 13}, Rows: []fleet.Row{row("a", 13)}})
 		changes, err = m.Changes(context.Background(), fleet.Position{Version: 12}, 500*time.Millisecond)
 		require.NoError(t, err)
 		require.Empty(t, changes.Rows.Rows)
@@ -80,8 +80,8 @@
 
 		gone := row("a", 14)
 		gone.Removed = true
-		m.Changed(time.Now(), fleet.Position{Version: 13}, fleet.Rows{At: fleet.Position{Version: 14}, Rows: []fleet.Row{gone}})
-		news = m.Changed(time.Now(), fleet.Position{Version: 14}, fleet.Rows{At: fleet.Position{Version: 15}, Rows: []fleet.Row{row("a", 15)}})
+		m.ApplyChanges(time.Now(), fleet.Position{Version: 13}, fleet.Rows{At: fleet.Position{Version: 14}, Rows: []fleet.Row{gone}})
+		news = m.ApplyChanges(time.Now(), fleet.Position{Version: 14}, fleet.Rows{At: fleet.Position{Version: 15}, Rows: []fleet.Row{row("a", 15)}})
 		require.Equal(t, []string{"a"}, keys(news.Rows), "a row that was gone is news")
 	})
 }
@@ -89,7 +89,7 @@
 func TestMirrorWithAGapAnswersNothing(t *testing.T) {
 	m := relay.NewMirror(nil)
 	m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}})
-	m.Changed(time.Now(), fleet.Position{Version: 20}, fleet.Rows{At: fleet.Position{Version: 21}, Rows: []fleet.Row{row("x", 21)}})
+	m.ApplyChanges(time.Now(), fleet.Position{Version: 20}, fleet.Rows{At: fleet.Position{Version: 21}, Rows: []fleet.Row{row("x", 21)}})
 	_, err := m.List(context.Background())
 	require.Error(t, err)
 	require.False(t, m.Follows(fleet.Position{Version: 21}))
--- a/relay/source.go
+++ b/relay/source.go
@@ -211,7 +211,7 @@
 		return s.askOthers(table, staleAfter, err, changes)
 	}
 	s.avoidIfAway(peer, asked)
-	return s.Mirror(table).Changed(time.Now(), after, rows), nil
+	return s.Mirror(table).ApplyChanges(time.Now(), after, rows), nil
 }
 
 // changesFrom takes changes in that the zone's reader passes on.
@@ -220,7 +220,7 @@
 	if err != nil {
 		return fleet.Rows{}, err
 	}
-	news := s.Mirror(table).Changed(time.Now().Add(-answer.Age), after, answer.Rows)
+	news := s.Mirror(table).ApplyChanges(time.Now().Add(-answer.Age), after, answer.Rows)
 	news.Relayed = true
 	return news, nil
 }
