--- a/relay/mirror.go
+++ b/relay/mirror.go
@@ -234,8 +234,8 @@
 	return now.Sub(m.readAt)
 }
 
-// Lost notes that the store could not be read, and ends all waits.
-func (m *Mirror) Lost() {
+// SetStoreUnreachable notes that the store could not be read, and ends all waits.
+func (m *Mirror) SetStoreUnreachable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lost = true
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -106,7 +106,7 @@
 				m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}})
 				started := time.Now()
 				if lose {
-					time.AfterFunc(100*time.Millisecond, m.Lost)
+					time.AfterFunc(100*time.Millisecond, m.SetStoreUnreachable)
 				}
 				_, err := m.Changes(context.Background(), fleet.Position{Version: 10}, 5*time.Second)
 				require.Equal(t, fleet.StoreAway, redwinghall.KindOf[fleet.StoreKind](err))
--- a/relay/source.go
+++ b/relay/source.go
@@ -127,7 +127,7 @@
 	}
 	rows, err := s.call(time.Now(), table, func() (fleet.Rows, error) { return s.config.Store.List(ctx, table) })
 	if err != nil {
-		s.Mirror(table).Lost()
+		s.Mirror(table).SetStoreUnreachable()
 		return s.askOthers(table, listStaleAfter, err, list)
 	}
 	s.avoidIfAway(peer, asked)
@@ -207,7 +207,7 @@
 		return fleet.Rows{}, err // the store answered: those that follow this node wait for its list
 	}
 	if err != nil {
-		s.Mirror(table).Lost()
+		s.Mirror(table).SetStoreUnreachable()
 		return s.askOthers(table, staleAfter, err, changes)
 	}
 	s.avoidIfAway(peer, asked)
