--- a/relay/mirror.go
+++ b/relay/mirror.go
@@ -65,8 +65,8 @@
 	m.wake() // also for a table without rows
 }
 
-// Follows reports whether changes after a position would leave no gap.
-func (m *Mirror) Follows(after fleet.Position) bool {
+// Continues reports whether changes after a position would leave no gap.
+func (m *Mirror) Continues(after fleet.Position) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.follows(after)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -92,7 +92,7 @@
 	m.ApplyChanges(time.Now(), fleet.Position{Version: 20}, fleet.Rows{At: fleet.Position{Version: 21}, Rows: []fleet.Row{row("x", 21)}})
 	_, err := m.List(context.Background())
 	require.Error(t, err)
-	require.False(t, m.Follows(fleet.Position{Version: 21}))
+	require.False(t, m.Continues(fleet.Position{Version: 21}))
 }
 
 // A withdrawn key goes on working at a node: it follows a reader that lost the
@@ -309,7 +309,7 @@
 			}
 		}
 		require.Equal(t, 1, calling)
-		require.True(t, sources["n1"].Mirror("t").Follows(fleet.Position{Version: 5}), "who followed can go on from there")
+		require.True(t, sources["n1"].Mirror("t").Continues(fleet.Position{Version: 5}), "who followed can go on from there")
 	})
 }
 
--- a/relay/source.go
+++ b/relay/source.go
@@ -192,7 +192,7 @@
 		if asked == nil || redwinghall.KindOf[fleet.StoreKind](asked) == fleet.StoreHistoryGone {
 			return rows, asked
 		}
-	} else if !s.away() && !s.Mirror(table).Follows(after) {
+	} else if !s.away() && !s.Mirror(table).Continues(after) {
 		// Others will ask this node: it needs the whole table first.
 		return fleet.Rows{}, redwinghall.NewOpError("Source.Changes", fleet.StoreHistoryGone, nil)
 	}
