--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -22,7 +22,7 @@
 
 // sameValue returns how values of a table's rows are compared. In the members'
 // table each writing counts, as it shows that a node lives.
-func sameValue(table string) relay.SameValue {
+func sameValue(table string) relay.EqualValues {
 	if table == platform.TableEndpoints {
 		return platform.SameEntry
 	}
--- a/relay/mirror.go
+++ b/relay/mirror.go
@@ -29,17 +29,17 @@
 	// whole says that nothing between the last list and at is missing.
 	whole   bool
 	lost    bool // the last read failed
-	same    SameValue
+	same    EqualValues
 	changed chan struct{}
 }
 
-// SameValue reports whether two values of a row say the same.
-type SameValue func(before, after []byte) bool
+// EqualValues reports whether two values of a row say the same.
+type EqualValues func(before, after []byte) bool
 
 // NewMirror returns a mirror of a table that was never read. Of rows whose new
 // value is the same it keeps the old version, so that nobody hears of them;
 // same may be nil, and no values are the same then.
-func NewMirror(same SameValue) *Mirror {
+func NewMirror(same EqualValues) *Mirror {
 	if same == nil {
 		same = func([]byte, []byte) bool { return false }
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -20,7 +20,7 @@
 
 var errDown = errors.New("down")
 
-func noneSame(string) relay.SameValue { return nil }
+func noneSame(string) relay.EqualValues { return nil }
 
 func row(key string, version int64) fleet.Row {
 	return fleet.Row{Table: "t", Key: key, Value: []byte(key), Version: version}
--- a/relay/source.go
+++ b/relay/source.go
@@ -66,7 +66,7 @@
 	Leader func() string
 	// Same returns, for a table, how values of its rows are compared; nil where
 	// each writing counts.
-	Same func(table string) SameValue
+	Same func(table string) EqualValues
 }
 
 // Source is a store whose tables are read by one node of the zone for all,
