--- a/neighbor/client.go
+++ b/neighbor/client.go
@@ -39,7 +39,7 @@
 	clients map[string]rpc.Neighbor // by address
 }
 
-var _ relay.Asker = (*Client)(nil)
+var _ relay.PeerClient = (*Client)(nil)
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
--- a/relay/source.go
+++ b/relay/source.go
@@ -47,8 +47,8 @@
 	backoffLongest = 30 * time.Second
 )
 
-// Asker asks another node for what it read.
-type Asker interface {
+// PeerClient asks another node for what it read.
+type PeerClient interface {
 	List(ctx context.Context, address, table string) (Answer, error)
 	Changes(ctx context.Context, address, table string, after fleet.Position, wait time.Duration) (Answer, error)
 	Commit(ctx context.Context, address string, txn fleet.Txn) (fleet.Position, error)
@@ -57,7 +57,7 @@
 // Config is what a source works with.
 type Config struct {
 	Store fleet.Store
-	Asker Asker
+	Asker PeerClient
 	Self  string // this node's name
 	// Peers returns the nodes of this zone, this one included; Others those of
 	// the other zones.
