--- a/relay/source.go
+++ b/relay/source.go
@@ -56,9 +56,9 @@
 
 // Config is what a source works with.
 type Config struct {
-	Store fleet.Store
-	Asker PeerClient
-	Self  string // this node's name
+	Store      fleet.Store
+	PeerClient PeerClient
+	Self       string // this node's name
 	// Peers returns the nodes of this zone, this one included; Others those of
 	// the other zones.
 	Peers, Others func() []Peer
@@ -115,7 +115,7 @@
 
 // List implements fleet.Store.
 func (s *Source) List(ctx context.Context, table string) (fleet.Rows, error) {
-	list := func(peer Peer) (Answer, error) { return s.config.Asker.List(ctx, peer.Address, table) }
+	list := func(peer Peer) (Answer, error) { return s.config.PeerClient.List(ctx, peer.Address, table) }
 	peer, follows := s.reader(time.Now())
 	var asked error
 	if follows {
@@ -182,7 +182,7 @@
 // Changes implements fleet.Store.
 func (s *Source) Changes(ctx context.Context, table string, after fleet.Position, wait time.Duration) (fleet.Rows, error) {
 	changes := func(peer Peer) (Answer, error) {
-		return s.config.Asker.Changes(ctx, peer.Address, table, after, min(wait, followWait))
+		return s.config.PeerClient.Changes(ctx, peer.Address, table, after, min(wait, followWait))
 	}
 	peer, follows := s.reader(time.Now())
 	var asked error
@@ -242,7 +242,7 @@
 	if !ok {
 		return at, err
 	}
-	at, helped := s.config.Asker.Commit(ctx, peer.Address, txn)
+	at, helped := s.config.PeerClient.Commit(ctx, peer.Address, txn)
 	if redwinghall.KindOf[fleet.StoreKind](helped) == fleet.StoreUnavailable {
 		s.avoided.RecordFailure(time.Now(), peer.Name)
 	}
