--- a/relay/peers.go
+++ b/relay/peers.go
@@ -46,7 +46,7 @@
 
 // helper returns a node to ask for help: of this zone first, then of others.
 func (s *Source) helper(now time.Time) (Peer, bool) {
-	for _, group := range [][]Peer{s.config.Peers(), s.config.Others()} {
+	for _, group := range [][]Peer{s.config.Peers(), s.config.RemotePeers()} {
 		for _, one := range Ranked(group, Reading) {
 			if one.Name != s.config.Self && !s.avoided.InBackoff(now, one.Name) {
 				return one, true
--- a/relay/source.go
+++ b/relay/source.go
@@ -59,9 +59,9 @@
 	Store      fleet.Store
 	PeerClient PeerClient
 	Self       string // this node's name
-	// Peers returns the nodes of this zone, this one included; Others those of
+	// Peers returns the nodes of this zone, this one included; RemotePeers those of
 	// the other zones.
-	Peers, Others func() []Peer
+	Peers, RemotePeers func() []Peer
 	// Leader returns the name of the node that forms the zone's groups, if it is known.
 	Leader func() string
 	// Same returns, for a table, how values of its rows are compared; nil where
