--- a/node/node.go
+++ b/node/node.go
@@ -76,7 +76,7 @@
 		avoided: relay.NewPeerBackoff(dispatcherFirst, dispatcherLongest),
 	}
 	n.source = relay.NewSource(relay.Config{
-		Store: store, PeerClient: n.neighbors, Self: s.Node, Peers: n.peers, RemotePeers: n.foreigners, Leader: n.leader, Same: sameValue,
+		Store: store, PeerClient: n.neighbors, Self: s.Node, Peers: n.peers, RemotePeers: n.foreigners, Leader: n.leader, EqualFor: sameValue,
 	})
 	n.current.Store(&s)
 	n.table = members.NewTable(members.Config{
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -238,7 +238,7 @@
 		stores[name] = &store{rows: fleet.Rows{At: fleet.Position{Version: 5}, Rows: []fleet.Row{row("a", 5)}}}
 		sources[name] = relay.NewSource(relay.Config{
 			Store: stores[name], PeerClient: nodes, Self: name, Peers: func() []relay.Peer { return peers },
-			RemotePeers: func() []relay.Peer { return nil }, Leader: func() string { return "n4" }, Same: noneSame,
+			RemotePeers: func() []relay.Peer { return nil }, Leader: func() string { return "n4" }, EqualFor: noneSame,
 		})
 		nodes[name] = sources[name]
 	}
--- a/relay/source.go
+++ b/relay/source.go
@@ -64,9 +64,9 @@
 	Peers, RemotePeers func() []Peer
 	// Leader returns the name of the node that forms the zone's groups, if it is known.
 	Leader func() string
-	// Same returns, for a table, how values of its rows are compared; nil where
+	// EqualFor returns, for a table, how values of its rows are compared; nil where
 	// each writing counts.
-	Same func(table string) EqualValues
+	EqualFor func(table string) EqualValues
 }
 
 // Source is a store whose tables are read by one node of the zone for all,
@@ -107,7 +107,7 @@
 	defer s.mu.Unlock()
 	m, ok := s.mirrors[table]
 	if !ok {
-		m = NewMirror(s.config.Same(table))
+		m = NewMirror(s.config.EqualFor(table))
 		s.mirrors[table] = m
 	}
 	return m
