--- a/relay/peers.go
+++ b/relay/peers.go
@@ -18,16 +18,16 @@
 	Capacity int
 }
 
-// Duty is work that one node of a zone does for all.
-type Duty string
+// Role is work that one node of a zone does for all.
+type Role string
 
 // The duties.
 const (
 	// Reading is to read the store for the zone, and to form its groups.
-	Reading Duty = "reading"
+	Reading Role = "reading"
 	// Dispatching is to gather the loads of the zone's nodes, to choose groups for
 	// their streams, and to speak for the zone to others.
-	Dispatching Duty = "dispatching"
+	Dispatching Role = "dispatching"
 )
 
 // reader returns the node to ask. There is none where this node is the reader
@@ -83,14 +83,14 @@
 // Guard: most VMs of a zone may be small ones, and a hash alone mostly puts one of
 // them first. Its link and processor then serve its callers late, and whoever waits for
 // its word.
-func Ranked(peers []Peer, duty Duty) []Peer {
+func Ranked(peers []Peer, duty Role) []Peer {
 	ranked := append([]Peer(nil), peers...)
 	sort.Slice(ranked, func(i, j int) bool { return Before(ranked[i], ranked[j], duty) })
 	return ranked
 }
 
 // Before reports whether a node is to bear a duty rather than another one.
-func Before(a, b Peer, duty Duty) bool {
+func Before(a, b Peer, duty Role) bool {
 	switch {
 	case a.Capacity != b.Capacity:
 		return a.Capacity > b.Capacity
