--- a/relay/peers.go
+++ b/relay/peers.go
@@ -23,8 +23,8 @@
 
 // The duties.
 const (
-	// Reading is to read the store for the zone, and to form its groups.
-	Reading Role = "reading"
+	// Reader is to read the store for the zone, and to form its groups.
+	Reader Role = "reading"
 	// Dispatching is to gather the loads of the zone's nodes, to choose groups for
 	// their streams, and to speak for the zone to others.
 	Dispatching Role = "dispatching"
@@ -37,7 +37,7 @@
 	if len(peers) <= maxDirectReaders {
 		return Peer{}, false
 	}
-	one, ok := s.avoided.FirstAvailable(now, leaderFirst(Ranked(peers, Reading), s.config.Leader()))
+	one, ok := s.avoided.FirstAvailable(now, leaderFirst(Ranked(peers, Reader), s.config.Leader()))
 	if one.Name == s.config.Self {
 		return Peer{}, false
 	}
@@ -47,7 +47,7 @@
 // helper returns a node to ask for help: of this zone first, then of others.
 func (s *Source) helper(now time.Time) (Peer, bool) {
 	for _, group := range [][]Peer{s.config.Peers(), s.config.RemotePeers()} {
-		for _, one := range Ranked(group, Reading) {
+		for _, one := range Ranked(group, Reader) {
 			if one.Name != s.config.Self && !s.avoided.InBackoff(now, one.Name) {
 				return one, true
 			}
