--- a/relay/peers.go
+++ b/relay/peers.go
@@ -25,9 +25,9 @@
 const (
 	// Reader is to read the store for the zone, and to form its groups.
 	Reader Role = "reading"
-	// Dispatching is to gather the loads of the zone's nodes, to choose groups for
+	// Dispatcher is to gather the loads of the zone's nodes, to choose groups for
 	// their streams, and to speak for the zone to others.
-	Dispatching Role = "dispatching"
+	Dispatcher Role = "dispatching"
 )
 
 // reader returns the node to ask. There is none where this node is the reader
@@ -94,7 +94,7 @@
 	switch {
 	case a.Capacity != b.Capacity:
 		return a.Capacity > b.Capacity
-	case duty == Dispatching:
+	case duty == Dispatcher:
 		return rank(a) < rank(b)
 	}
 	// In the opposite order, so that no VM of a class bears both while there is another one.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -128,7 +128,7 @@
 		peers[i].Capacity = 0
 	}
 	firsts := map[string]bool{}
-	for _, duty := range []relay.Role{relay.Reader, relay.Dispatching} {
+	for _, duty := range []relay.Role{relay.Reader, relay.Dispatcher} {
 		ranked := relay.Ranked(peers, duty)
 		for _, one := range ranked[:3] {
 			require.Zero(t, one.Capacity)
