--- a/node/permit.go
+++ b/node/permit.go
@@ -58,7 +58,7 @@
 	if peers := n.peersOf(zone); len(peers) > 0 {
 		return peers
 	}
-	return relay.Ranked(append(n.peers(), n.foreigners()...), relay.Dispatcher)
+	return relay.RankPeers(append(n.peers(), n.foreigners()...), relay.Dispatcher)
 }
 
 // lenderShare returns the part of a limit that this node lends for endpoints of a zone, 0
--- a/node/roster.go
+++ b/node/roster.go
@@ -24,7 +24,7 @@
 		next.zones[one.Zone] = append(next.zones[one.Zone], one.Peer())
 	}
 	for zone, peers := range next.zones {
-		next.zones[zone] = relay.Ranked(peers, relay.Dispatcher)
+		next.zones[zone] = relay.RankPeers(peers, relay.Dispatcher)
 	}
 	return next
 }
--- a/relay/peers.go
+++ b/relay/peers.go
@@ -37,7 +37,7 @@
 	if len(peers) <= maxDirectReaders {
 		return Peer{}, false
 	}
-	one, ok := s.avoided.FirstAvailable(now, leaderFirst(Ranked(peers, Reader), s.config.Leader()))
+	one, ok := s.avoided.FirstAvailable(now, leaderFirst(RankPeers(peers, Reader), s.config.Leader()))
 	if one.Name == s.config.Self {
 		return Peer{}, false
 	}
@@ -47,7 +47,7 @@
 // helper returns a node to ask for help: of this zone first, then of others.
 func (s *Source) helper(now time.Time) (Peer, bool) {
 	for _, group := range [][]Peer{s.config.Peers(), s.config.RemotePeers()} {
-		for _, one := range Ranked(group, Reader) {
+		for _, one := range RankPeers(group, Reader) {
 			if one.Name != s.config.Self && !s.avoided.InBackoff(now, one.Name) {
 				return one, true
 			}
@@ -75,7 +75,7 @@
 	return peers
 }
 
-// Ranked returns nodes in the order in which they are to bear a duty. All nodes
+// RankPeers returns nodes in the order in which they are to bear a duty. All nodes
 // agree on it, and it doesn't change for those that stay when others come and
 // go: the VMs that bear most go first, and among VMs of a class the two duties go
 // from opposite ends.
@@ -83,7 +83,7 @@
 // Guard: most VMs of a zone may be small ones, and a hash alone mostly puts one of
 // them first. Its link and processor then serve its callers late, and whoever waits for
 // its word.
-func Ranked(peers []Peer, duty Role) []Peer {
+func RankPeers(peers []Peer, duty Role) []Peer {
 	ranked := append([]Peer(nil), peers...)
 	sort.Slice(ranked, func(i, j int) bool { return Before(ranked[i], ranked[j], duty) })
 	return ranked
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -129,20 +129,20 @@
 	}
 	firsts := map[string]bool{}
 	for _, duty := range []relay.Role{relay.Reader, relay.Dispatcher} {
-		ranked := relay.Ranked(peers, duty)
+		ranked := relay.RankPeers(peers, duty)
 		for _, one := range ranked[:3] {
 			require.Zero(t, one.Capacity)
 		}
 		firsts[ranked[0].Name] = true
 		slices.Reverse(peers)
-		require.Equal(t, ranked, relay.Ranked(peers, duty))
+		require.Equal(t, ranked, relay.RankPeers(peers, duty))
 		var rest []relay.Peer
 		for _, one := range peers {
 			if one.Capacity < 0 {
 				rest = append(rest, one)
 			}
 		}
-		require.Equal(t, ranked[3:], relay.Ranked(rest, duty), "when all strong ones are lost, the others keep their order")
+		require.Equal(t, ranked[3:], relay.RankPeers(rest, duty), "when all strong ones are lost, the others keep their order")
 	}
 	require.Len(t, firsts, 2)
 }
--- a/relay/source.go
+++ b/relay/source.go
@@ -171,7 +171,7 @@
 // reader always, others if it didn't fail them just now.
 func (s *Source) mayCall(now time.Time, table string) bool {
 	peers := s.config.Peers()
-	if len(peers) <= maxDirectReaders || leaderFirst(Ranked(peers, Reader), s.config.Leader())[0].Name == s.config.Self {
+	if len(peers) <= maxDirectReaders || leaderFirst(RankPeers(peers, Reader), s.config.Leader())[0].Name == s.config.Self {
 		return true
 	}
 	s.mu.Lock()
