--- a/members/members.go
+++ b/members/members.go
@@ -247,7 +247,7 @@
 	}
 	rank := 0
 	for _, node := range *t.nodes.Load() {
-		if node.Zone == t.config.Self.Zone && relay.Before(node.Peer(), t.config.Self.Peer(), relay.Reader) {
+		if node.Zone == t.config.Self.Zone && relay.PreferredFor(node.Peer(), t.config.Self.Peer(), relay.Reader) {
 			rank++
 		}
 	}
--- a/relay/peers.go
+++ b/relay/peers.go
@@ -85,12 +85,12 @@
 // its word.
 func RankPeers(peers []Peer, duty Role) []Peer {
 	ranked := append([]Peer(nil), peers...)
-	sort.Slice(ranked, func(i, j int) bool { return Before(ranked[i], ranked[j], duty) })
+	sort.Slice(ranked, func(i, j int) bool { return PreferredFor(ranked[i], ranked[j], duty) })
 	return ranked
 }
 
-// Before reports whether a node is to bear a duty rather than another one.
-func Before(a, b Peer, duty Role) bool {
+// PreferredFor reports whether a node is to bear a duty rather than another one.
+func PreferredFor(a, b Peer, duty Role) bool {
 	switch {
 	case a.Capacity != b.Capacity:
 		return a.Capacity > b.Capacity
