--- a/fleet/store.go
+++ b/fleet/store.go
@@ -59,8 +59,8 @@
 const (
 	// StoreUnavailable: nothing was done.
 	StoreUnavailable StoreKind = "store_unavailable"
-	// StoreAway: the node that was asked doesn't reach the store itself.
-	StoreAway StoreKind = "store_away"
+	// StoreUnreachable: the node that was asked doesn't reach the store itself.
+	StoreUnreachable StoreKind = "store_away"
 	// StoreUnknown: the call may have been carried out, or may yet be.
 	StoreUnknown StoreKind = "store_unknown"
 	// StoreConflict: a condition of the transaction did not hold.
--- a/neighbor/client.go
+++ b/neighbor/client.go
@@ -199,7 +199,7 @@
 		case twirp.OutOfRange:
 			return relay.Answer{}, redwinghall.NewOpError(op, fleet.StoreHistoryGone, err)
 		case twirp.FailedPrecondition:
-			return relay.Answer{}, redwinghall.NewOpError(op, fleet.StoreAway, err)
+			return relay.Answer{}, redwinghall.NewOpError(op, fleet.StoreUnreachable, err)
 		default:
 			return relay.Answer{}, c.failed(op, err)
 		}
--- a/neighbor/encode.go
+++ b/neighbor/encode.go
@@ -44,7 +44,7 @@
 	switch redwinghall.KindOf[fleet.StoreKind](err) {
 	case fleet.StoreHistoryGone:
 		return nil, twirp.NewError(twirp.OutOfRange, err.Error())
-	case fleet.StoreAway:
+	case fleet.StoreUnreachable:
 		return nil, twirp.NewError(twirp.FailedPrecondition, err.Error())
 	case "":
 	default:
--- a/relay/era_test.go
+++ b/relay/era_test.go
@@ -30,7 +30,7 @@
 	_, err = m.Changes(context.Background(), fleet.Position{Era: 1, Version: 90}, time.Second)
 	require.Equal(t, fleet.StoreHistoryGone, redwinghall.KindOf[fleet.StoreKind](err), "who follows by the old era lists again")
 	_, err = m.Changes(context.Background(), fleet.Position{Era: 3, Version: 1}, time.Second)
-	require.Equal(t, fleet.StoreAway, redwinghall.KindOf[fleet.StoreKind](err), "who knows a newer era gets nothing here")
+	require.Equal(t, fleet.StoreUnreachable, redwinghall.KindOf[fleet.StoreKind](err), "who knows a newer era gets nothing here")
 
 	m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Era: 1, Version: 95}, Rows: []fleet.Row{row("lost", 80)}})
 	list, err = m.List(context.Background())
--- a/relay/mirror.go
+++ b/relay/mirror.go
@@ -183,7 +183,7 @@
 func (m *Mirror) unusable(op string) error {
 	switch {
 	case m.lost:
-		return redwinghall.NewOpError(op, fleet.StoreAway, nil)
+		return redwinghall.NewOpError(op, fleet.StoreUnreachable, nil)
 	case !m.whole:
 		return redwinghall.NewOpError(op, fleet.StoreUnavailable, nil)
 	}
@@ -211,7 +211,7 @@
 			stale.Stop()
 		case <-stale.C:
 			if m.age(time.Now()) >= staleAfter {
-				return Answer{}, redwinghall.NewOpError("Mirror.Changes", fleet.StoreAway, errStale)
+				return Answer{}, redwinghall.NewOpError("Mirror.Changes", fleet.StoreUnreachable, errStale)
 			}
 		case <-timer.C:
 			stale.Stop()
@@ -249,7 +249,7 @@
 		return Answer{}, nil, err
 	}
 	if after.Era > m.at.Era {
-		return Answer{}, nil, redwinghall.NewOpError("Mirror.Changes", fleet.StoreAway, errEarlierEra)
+		return Answer{}, nil, redwinghall.NewOpError("Mirror.Changes", fleet.StoreUnreachable, errEarlierEra)
 	}
 	if after.Before(m.oldest) {
 		return Answer{}, nil, redwinghall.NewOpError("Mirror.Changes", fleet.StoreHistoryGone, nil)
--- a/relay/peers.go
+++ b/relay/peers.go
@@ -58,7 +58,7 @@
 
 // avoidIfAway avoids a node that doesn't reach a store that others may reach.
 func (s *Source) avoidIfAway(reader Peer, asked error) {
-	if redwinghall.KindOf[fleet.StoreKind](asked) == fleet.StoreAway {
+	if redwinghall.KindOf[fleet.StoreKind](asked) == fleet.StoreUnreachable {
 		s.avoided.RecordFailure(time.Now(), reader.Name)
 	}
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -109,7 +109,7 @@
 					time.AfterFunc(100*time.Millisecond, m.SetStoreUnreachable)
 				}
 				_, err := m.Changes(context.Background(), fleet.Position{Version: 10}, 5*time.Second)
-				require.Equal(t, fleet.StoreAway, redwinghall.KindOf[fleet.StoreKind](err))
+				require.Equal(t, fleet.StoreUnreachable, redwinghall.KindOf[fleet.StoreKind](err))
 				require.Less(t, time.Since(started), 1500*time.Millisecond)
 			})
 		})
--- a/relay/source.go
+++ b/relay/source.go
@@ -298,16 +298,16 @@
 	case redwinghall.KindOf[fleet.StoreKind](err) == fleet.StoreHistoryGone:
 		return Answer{}, err
 	case err == nil && answer.Rows.At.Era < s.era.Load():
-		err = redwinghall.NewOpError("Source.ask", fleet.StoreAway, errEarlierEra)
+		err = redwinghall.NewOpError("Source.ask", fleet.StoreUnreachable, errEarlierEra)
 	case err == nil && answer.Age <= trust:
 		s.avoided.RecordSuccess(peer.Name)
 		s.noteEra(answer.Rows.At)
 		return answer, nil
 	}
 	klog.InfoS("reader_not_trusted", "reader", peer.Name, "table", table, "age", answer.Age, "err", err)
-	if redwinghall.KindOf[fleet.StoreKind](err) == fleet.StoreAway || err == nil {
+	if redwinghall.KindOf[fleet.StoreKind](err) == fleet.StoreUnreachable || err == nil {
 		// It works, but the store doesn't answer it: perhaps nobody.
-		return Answer{}, redwinghall.NewOpError("Source.ask", fleet.StoreAway, err)
+		return Answer{}, redwinghall.NewOpError("Source.ask", fleet.StoreUnreachable, err)
 	}
 	s.avoided.RecordFailure(time.Now(), peer.Name)
 	return Answer{}, redwinghall.NewOpError("Source.ask", fleet.StoreUnavailable, err)
