--- a/fleet/store.go
+++ b/fleet/store.go
@@ -61,8 +61,8 @@
 	StoreUnavailable StoreKind = "store_unavailable"
 	// StoreUnreachable: the node that was asked doesn't reach the store itself.
 	StoreUnreachable StoreKind = "store_away"
-	// StoreUnknown: the call may have been carried out, or may yet be.
-	StoreUnknown StoreKind = "store_unknown"
+	// StoreOutcomeUnknown: the call may have been carried out, or may yet be.
+	StoreOutcomeUnknown StoreKind = "store_unknown"
 	// StoreConflict: a condition of the transaction did not hold.
 	StoreConflict StoreKind = "store_conflict"
 	// StoreHistoryGone: the changes asked for are no longer known; list again.
--- a/neighbor/client.go
+++ b/neighbor/client.go
@@ -83,7 +83,7 @@
 	if err == nil {
 		return fleet.Position{Era: out.GetEra(), Version: out.GetVersion()}, nil
 	}
-	kind := fleet.StoreUnknown
+	kind := fleet.StoreOutcomeUnknown
 	switch twirpCode(err) {
 	case twirp.FailedPrecondition:
 		kind = fleet.StoreConflict
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -107,7 +107,7 @@
 	require.NoError(t, err)
 	require.Equal(t, fleet.Position{Era: 2, Version: 9}, version)
 	require.Equal(t, []fleet.Txn{txn}, o.commits)
-	for _, kind := range []fleet.StoreKind{fleet.StoreConflict, fleet.StoreUnavailable, fleet.StoreUnknown} {
+	for _, kind := range []fleet.StoreKind{fleet.StoreConflict, fleet.StoreUnavailable, fleet.StoreOutcomeUnknown} {
 		o.commitErr = redwinghall.NewOpError("test", kind, nil)
 		_, err = client.Commit(context.Background(), address, txn)
 		require.Equal(t, kind, redwinghall.KindOf[fleet.StoreKind](err), "what is known of the outcome must not change on the way")
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -443,8 +443,8 @@
 // must not send it again.
 func TestUnknownCommitIsNotRepeated(t *testing.T) {
 	_, sources, stores := zone("n1", "n2")
-	stores["n1"].commitErrors = fleet.StoreUnknown
+	stores["n1"].commitErrors = fleet.StoreOutcomeUnknown
 	_, err := sources["n1"].Commit(context.Background(), fleet.Txn{})
-	require.Equal(t, fleet.StoreUnknown, redwinghall.KindOf[fleet.StoreKind](err))
+	require.Equal(t, fleet.StoreOutcomeUnknown, redwinghall.KindOf[fleet.StoreKind](err))
 	require.Zero(t, stores["n2"].commits)
 }
