--- a/relay/era_test.go
+++ b/relay/era_test.go
@@ -12,9 +12,9 @@
 	"redwinghall/relay"
 )
 
-// A store that came back older gives versions out again: a node that keeps its higher version
-// would hear nothing of rows that are written below it.
-func TestMirrorOfANewEra(t *testing.T) {
+// A store that was restored from an older copy assigns versions again. A mirror that kept
+// its higher version would never see the rows that are written below it.
+func TestMirrorReplacesRowsOfEarlierEra(t *testing.T) {
 	m := relay.NewMirror(nil)
 	m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Era: 1, Version: 90}, Rows: []fleet.Row{row("a", 3), row("lost", 80)}})
 	m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Era: 2, Version: 50}, Rows: []fleet.Row{row("a", 3)}})
@@ -28,54 +28,54 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{"b"}, keys(changes.Rows.Rows))
 	_, err = m.Changes(context.Background(), fleet.Position{Era: 1, Version: 90}, time.Second)
-	require.Equal(t, fleet.StoreHistoryGone, redwinghall.KindOf[fleet.StoreKind](err), "who follows by the old era lists again")
+	require.Equal(t, fleet.StoreHistoryGone, redwinghall.KindOf[fleet.StoreKind](err), "a position of the old era requires a new list")
 	_, err = m.Changes(context.Background(), fleet.Position{Era: 3, Version: 1}, time.Second)
-	require.Equal(t, fleet.StoreUnreachable, redwinghall.KindOf[fleet.StoreKind](err), "who knows a newer era gets nothing here")
+	require.Equal(t, fleet.StoreUnreachable, redwinghall.KindOf[fleet.StoreKind](err), "a position of a newer era is not served from this copy")
 
 	m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Era: 1, Version: 95}, Rows: []fleet.Row{row("lost", 80)}})
 	list, err = m.List(context.Background())
 	require.NoError(t, err)
 	require.Equal(t, int64(2), list.Rows.At.Era)
-	require.Equal(t, []string{"a", "b"}, keys(list.Rows.Rows), "a list of an earlier era is of no use")
+	require.Equal(t, []string{"a", "b"}, keys(list.Rows.Rows), "a list of an earlier era is ignored")
 }
 
-// A reader that is told to list reaches the store. Taken for cut off, it would send the others
-// to nodes whose copies are older.
-func TestReaderThatIsToldToListIsNotCutOff(t *testing.T) {
+// A reader whose store answers that the history is gone does reach the store. If its mirror
+// were marked unreachable, the other nodes would turn to nodes with older copies.
+func TestHistoryGoneDoesNotMarkStoreUnreachable(t *testing.T) {
 	_, sources, stores := zone("n1")
 	_, err := sources["n1"].List(context.Background(), "t")
 	require.NoError(t, err)
-	stores["n1"].gone = true
+	stores["n1"].historyGone = true
 	_, err = sources["n1"].Changes(context.Background(), "t", fleet.Position{Version: 5}, time.Millisecond)
 	require.Equal(t, fleet.StoreHistoryGone, redwinghall.KindOf[fleet.StoreKind](err))
 	_, err = sources["n1"].Mirror("t").List(context.Background())
 	require.NoError(t, err)
 }
 
-// Two eras in one zone: the reader still has what the store held before it came back. Who
-// knows better doesn't take that for news.
-func TestReaderOfAnEarlierEraIsPassedOver(t *testing.T) {
+// The reader of a zone still holds rows from before the store was restored. A node that
+// knows the newer era must not accept them as current.
+func TestReaderOfAnEarlierEraIsSkipped(t *testing.T) {
 	_, sources, stores := zone("n1", "n2", "n3", "n4")
-	now := func(era, version int64) fleet.Rows {
+	rowsAt := func(era, version int64) fleet.Rows {
 		return fleet.Rows{At: fleet.Position{Era: era, Version: version}, Rows: []fleet.Row{row("a", version)}}
 	}
 	for name, s := range sources {
-		stores[name].rows = now(2, 4)
-		s.Mirror("t").ApplyList(time.Now(), now(1, 9))
+		stores[name].rows = rowsAt(2, 4)
+		s.Mirror("t").ApplyList(time.Now(), rowsAt(1, 9))
 	}
 	for name, s := range sources {
-		_, err := s.Commit(context.Background(), fleet.Txn{}) // its answer names the era
+		_, err := s.Commit(context.Background(), fleet.Txn{}) // the commit response carries the era
 		require.NoError(t, err)
-		s.Mirror("other").ApplyList(time.Now(), now(2, 4))
+		s.Mirror("other").ApplyList(time.Now(), rowsAt(2, 4))
 		rows, err := s.List(context.Background(), "t")
 		require.NoError(t, err, name)
 		require.Equal(t, int64(2), rows.At.Era, name)
 	}
 }
 
-// Where the store's versions have passed the one that was read, its answer looks like any
-// other, and lacks rows that were written again below.
-func TestChangesOfAnotherEraAreListedAgain(t *testing.T) {
+// Once the versions of the restored store have passed the position that was read, its
+// answer looks valid, but lacks rows that were written again at lower versions.
+func TestChangesOfAnotherEraRequireANewList(t *testing.T) {
 	_, sources, stores := zone("n1")
 	stores["n1"].rows = fleet.Rows{At: fleet.Position{Era: 1, Version: 5}, Rows: []fleet.Row{row("a", 5)}}
 	_, err := sources["n1"].List(context.Background(), "t")
--- a/relay/mirror.go
+++ b/relay/mirror.go
@@ -1,5 +1,5 @@
-// Package relay spreads what a few nodes of a zone read from the store to the
-// others, so that the calls to the store don't grow with the number of nodes.
+// Package relay lets a few nodes of a zone read the store and pass the rows on to
+// the other nodes, so that the calls to the store don't grow with the number of nodes.
 package relay
 
 import (
@@ -13,44 +13,44 @@
 	"redwinghall/fleet"
 )
 
-// keepRemoved is how long a removed row is remembered for the nodes that
-// follow; one that is further behind lists again.
-const keepRemoved = time.Minute
+// removedRetention is how long the removal of a row is kept for nodes that read
+// changes from this one. A node that is further behind must list the table again.
+const removedRetention = time.Minute
 
-// Mirror is one table as this node last read it from the store.
+// Mirror is a local copy of one table of the store.
 type Mirror struct {
 	mu      sync.Mutex
 	rows    map[string]fleet.Row
-	removed map[string]time.Time // when a row was seen to be gone
+	removed map[string]time.Time // when the removal of a row was received, by key
 	at      fleet.Position
-	// oldest is the position below which removals are forgotten.
+	// oldest is the position below which removals are no longer kept.
 	oldest fleet.Position
 	readAt time.Time
-	// whole says that nothing between the last list and at is missing.
-	whole   bool
-	lost    bool // the last read failed
-	same    EqualValues
-	changed chan struct{}
+	// complete says that no change between the last list and at is missing.
+	complete    bool
+	unreachable bool // the last read of the store failed
+	equal       EqualValues
+	changed     chan struct{}
 }
 
-// EqualValues reports whether two values of a row say the same.
+// EqualValues reports whether two values of a row are equivalent.
 type EqualValues func(before, after []byte) bool
 
-// NewMirror returns a mirror of a table that was never read. Of rows whose new
-// value is the same it keeps the old version, so that nobody hears of them;
-// same may be nil, and no values are the same then.
-func NewMirror(same EqualValues) *Mirror {
-	if same == nil {
-		same = func([]byte, []byte) bool { return false }
+// NewMirror returns an empty mirror. A row whose new value equals the old one keeps
+// its old version, so that it isn't reported as a change. If equal is nil, no two
+// values are equal.
+func NewMirror(equal EqualValues) *Mirror {
+	if equal == nil {
+		equal = func([]byte, []byte) bool { return false }
 	}
-	return &Mirror{rows: map[string]fleet.Row{}, removed: map[string]time.Time{}, same: same, changed: make(chan struct{})}
+	return &Mirror{rows: map[string]fleet.Row{}, removed: map[string]time.Time{}, equal: equal, changed: make(chan struct{})}
 }
 
-// ApplyList takes in a whole table. Rows that it lacks are gone as of its position.
+// ApplyList replaces the copy by a full listing of the table.
 //
-// Guard: after the store came back older, its versions are lower than those before. The
-// list of a new era replaces all, and those who follow by the old one list again; one of an
-// earlier era is of no use.
+// When the store is restored from an older copy, its versions are lower than before.
+// A listing of a new era replaces all rows, and nodes that read changes at a position
+// of the old era have to list the table again. A listing of an earlier era is ignored.
 func (m *Mirror) ApplyList(now time.Time, rows fleet.Rows) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -60,52 +60,52 @@
 	m.rows = map[string]fleet.Row{}
 	m.removed = map[string]time.Time{}
 	m.oldest = rows.At
-	m.whole = true
-	m.take(now, rows)
-	m.wake() // also for a table without rows
+	m.complete = true
+	m.apply(now, rows)
+	m.notify() // also for a table without rows
 }
 
-// Continues reports whether changes after a position would leave no gap.
+// Continues reports whether changes after a position can be applied without a gap.
 func (m *Mirror) Continues(after fleet.Position) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.follows(after)
+	return m.continues(after)
 }
 
-// follows is the same with the lock held.
-func (m *Mirror) follows(after fleet.Position) bool {
-	return m.whole && after.Era == m.at.Era && after.Version <= m.at.Version
+// continues is Continues with the lock held.
+func (m *Mirror) continues(after fleet.Position) bool {
+	return m.complete && after.Era == m.at.Era && after.Version <= m.at.Version
 }
 
-// ApplyChanges takes in changes of the table after a position. It returns those that
-// say something new.
+// ApplyChanges applies changes of the table after a position and returns those with
+// a new value.
 //
-// Gain: endpoints rewrite their entries as heartbeats, nearly always with nothing
-// new. Those writes are not passed on, which saves bytes between nodes.
+// Endpoints rewrite their entries as heartbeats, nearly always with the same value.
+// Those writes are not passed on, which saves traffic between nodes.
 func (m *Mirror) ApplyChanges(now time.Time, after fleet.Position, rows fleet.Rows) fleet.Rows {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.whole = m.follows(after)
-	news := m.take(now, rows)
+	m.complete = m.continues(after)
+	updates := m.apply(now, rows)
 	for key, at := range m.removed {
-		if now.Sub(at) > keepRemoved {
+		if now.Sub(at) > removedRetention {
 			m.oldest.Version = max(m.oldest.Version, m.rows[key].Version)
 			delete(m.removed, key)
 			delete(m.rows, key)
 		}
 	}
-	return news
+	return updates
 }
 
-// take stores rows, wakes the waiting calls if any are new, and returns the new
-// ones. The lock is held.
-func (m *Mirror) take(now time.Time, rows fleet.Rows) fleet.Rows {
-	news := fleet.Rows{At: rows.At, More: rows.More}
+// apply stores rows, wakes the waiting calls if any row has a new value, and returns
+// the rows with a new value. The lock is held.
+func (m *Mirror) apply(now time.Time, rows fleet.Rows) fleet.Rows {
+	updates := fleet.Rows{At: rows.At, More: rows.More}
 	for _, row := range rows.Rows {
-		if old, known := m.rows[row.Key]; known && !old.Removed && !row.Removed && m.same(old.Value, row.Value) {
+		if old, known := m.rows[row.Key]; known && !old.Removed && !row.Removed && m.equal(old.Value, row.Value) {
 			continue
 		}
-		news.Rows = append(news.Rows, row)
+		updates.Rows = append(updates.Rows, row)
 		m.rows[row.Key] = row
 		delete(m.removed, row.Key)
 		if row.Removed {
@@ -114,47 +114,47 @@
 	}
 	m.at = m.at.Later(rows.At)
 	m.readAt = now
-	m.lost = false
-	if len(news.Rows) > 0 {
-		m.wake()
+	m.unreachable = false
+	if len(updates.Rows) > 0 {
+		m.notify()
 	}
-	return news
+	return updates
 }
 
-// wake wakes the calls that wait for a change. The lock is held.
-func (m *Mirror) wake() {
+// notify wakes the calls that wait for a change. The lock is held.
+func (m *Mirror) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// Answer is what a mirror says, and how long ago the store last confirmed it.
+// Answer is the response of a mirror: rows, and the time since the store last confirmed them.
 type Answer struct {
 	Rows fleet.Rows
 	Age  time.Duration
 }
 
-// firstWait is how long List waits for a table that was never read: after a
-// start of all nodes, their reader has it a few steps later than they ask.
-const firstWait = 600 * time.Millisecond
+// firstReadTimeout is how long List waits for a table that was never read. When all
+// nodes start at once, the reader has the table shortly after the others ask for it.
+const firstReadTimeout = 600 * time.Millisecond
 
 // List returns the table without removed rows.
 //
-// Guard: when all nodes start at once, none has read anything. If each read the
-// table itself then, the store would send the whole table to every node.
+// When all nodes start at once, none has read the table yet. If List failed then, each
+// node would read the table itself, and the store would send the whole table to every node.
 func (m *Mirror) List(ctx context.Context) (Answer, error) {
-	m.awaitFirst(ctx)
+	m.awaitFirstRead(ctx)
 	return m.list(time.Now())
 }
 
-// awaitFirst waits for the first read, whether it works or not.
-func (m *Mirror) awaitFirst(ctx context.Context) {
+// awaitFirstRead waits until the table was read for the first time or a read failed.
+func (m *Mirror) awaitFirstRead(ctx context.Context) {
 	m.mu.Lock()
-	unread, changed := !m.whole && !m.lost, m.changed
+	unread, changed := !m.complete && !m.unreachable, m.changed
 	m.mu.Unlock()
 	if !unread {
 		return
 	}
-	timer := time.NewTimer(firstWait)
+	timer := time.NewTimer(firstReadTimeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -166,7 +166,7 @@
 func (m *Mirror) list(now time.Time) (Answer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.unusable("Mirror.List"); err != nil {
+	if err := m.checkUsable("Mirror.List"); err != nil {
 		return Answer{}, err
 	}
 	answer := Answer{Rows: fleet.Rows{At: m.at}, Age: now.Sub(m.readAt)}
@@ -179,29 +179,28 @@
 	return answer, nil
 }
 
-// unusable says why the mirror answers nothing, if so. The lock is held.
-func (m *Mirror) unusable(op string) error {
+// checkUsable returns an error if the copy can't be served. The lock is held.
+func (m *Mirror) checkUsable(op string) error {
 	switch {
-	case m.lost:
+	case m.unreachable:
 		return redwinghall.NewOpError(op, fleet.StoreUnreachable, nil)
-	case !m.whole:
+	case !m.complete:
 		return redwinghall.NewOpError(op, fleet.StoreUnavailable, nil)
 	}
 	return nil
 }
 
-// Changes returns what changed after a position, and waits up to wait for it. A
-// wait ends with an error as soon as the store has not confirmed the table for
-// too long.
+// Changes returns the changes after a position, and waits for at most wait until there
+// are any. It returns an error as soon as the age of the copy reaches staleAfter.
 //
-// Guard: a reader that was cut off from the store would keep those that follow
-// it waiting, although they could read the store themselves, and a key that
-// was withdrawn would go on working at their nodes.
+// Otherwise a reader that lost its connection to the store would keep the nodes that
+// read from it waiting, although they could read the store themselves, and they would
+// go on accepting an API key that was revoked.
 func (m *Mirror) Changes(ctx context.Context, after fleet.Position, wait time.Duration) (Answer, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		answer, changed, err := m.after(time.Now(), after)
+		answer, changed, err := m.changesAfter(time.Now(), after)
 		if err != nil || len(answer.Rows.Rows) > 0 {
 			return answer, err
 		}
@@ -224,8 +223,8 @@
 }
 
 var (
-	errEarlierEra = errors.New("the table is of an earlier era of the store")
-	errStale      = errors.New("the store has not confirmed the table for too long")
+	errEarlierEra = errors.New("the copy of the table belongs to an earlier era of the store")
+	errStale      = errors.New("the copy of the table is too old: the store has not confirmed it recently")
 )
 
 func (m *Mirror) age(now time.Time) time.Duration {
@@ -234,18 +233,18 @@
 	return now.Sub(m.readAt)
 }
 
-// SetStoreUnreachable notes that the store could not be read, and ends all waits.
+// SetStoreUnreachable records that the store could not be read, and ends all waits.
 func (m *Mirror) SetStoreUnreachable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lost = true
-	m.wake()
+	m.unreachable = true
+	m.notify()
 }
 
-func (m *Mirror) after(now time.Time, after fleet.Position) (Answer, chan struct{}, error) {
+func (m *Mirror) changesAfter(now time.Time, after fleet.Position) (Answer, chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.unusable("Mirror.Changes"); err != nil {
+	if err := m.checkUsable("Mirror.Changes"); err != nil {
 		return Answer{}, nil, err
 	}
 	if after.Era > m.at.Era {
--- a/relay/peers.go
+++ b/relay/peers.go
@@ -10,94 +10,96 @@
 	"redwinghall/fleet"
 )
 
-// Peer is a node that another one can ask.
+// Peer is a node that other nodes can call.
 type Peer struct {
 	Name    string
 	Address string
-	// Capacity is the class of the node's VM: a higher one bears more.
+	// Capacity is the class of the node's VM; a higher class can take more load.
 	Capacity int
 }
 
-// Role is work that one node of a zone does for all.
+// Role is a task that one node of a zone performs for the whole zone.
 type Role string
 
-// The duties.
+// The roles.
 const (
-	// Reader is to read the store for the zone, and to form its groups.
+	// Reader reads the store for the zone and forms the zone's groups.
 	Reader Role = "reading"
-	// Dispatcher is to gather the loads of the zone's nodes, to choose groups for
-	// their streams, and to speak for the zone to others.
+	// Dispatcher collects the loads of the zone's nodes, chooses groups for their
+	// streams and represents the zone to other zones.
 	Dispatcher Role = "dispatching"
 )
 
-// reader returns the node to ask. There is none where this node is the reader
-// itself.
+// reader returns the node from which to read. It returns none if this node reads
+// the store itself.
 func (s *Source) reader(now time.Time) (Peer, bool) {
 	peers := s.config.Peers()
 	if len(peers) <= maxDirectReaders {
 		return Peer{}, false
 	}
-	one, ok := s.avoided.FirstAvailable(now, leaderFirst(RankPeers(peers, Reader), s.config.Leader()))
-	if one.Name == s.config.Self {
+	peer, ok := s.backoff.FirstAvailable(now, leaderFirst(RankPeers(peers, Reader), s.config.Leader()))
+	if peer.Name == s.config.Self {
 		return Peer{}, false
 	}
-	return one, ok
+	return peer, ok
 }
 
-// helper returns a node to ask for help: of this zone first, then of others.
-func (s *Source) helper(now time.Time) (Peer, bool) {
+// fallbackPeer returns a node to call when this node cannot reach the store: one of
+// this zone if possible, else one of another zone.
+func (s *Source) fallbackPeer(now time.Time) (Peer, bool) {
 	for _, group := range [][]Peer{s.config.Peers(), s.config.RemotePeers()} {
-		for _, one := range RankPeers(group, Reader) {
-			if one.Name != s.config.Self && !s.avoided.InBackoff(now, one.Name) {
-				return one, true
+		for _, peer := range RankPeers(group, Reader) {
+			if peer.Name != s.config.Self && !s.backoff.InBackoff(now, peer.Name) {
+				return peer, true
 			}
 		}
 	}
 	return Peer{}, false
 }
 
-// avoidIfAway avoids a node that doesn't reach a store that others may reach.
-func (s *Source) avoidIfAway(reader Peer, asked error) {
-	if redwinghall.KindOf[fleet.StoreKind](asked) == fleet.StoreUnreachable {
-		s.avoided.RecordFailure(time.Now(), reader.Name)
+// recordUnreachable puts a reader in backoff that reported that it cannot reach the
+// store, since other nodes may still reach it.
+func (s *Source) recordUnreachable(reader Peer, readerErr error) {
+	if redwinghall.KindOf[fleet.StoreKind](readerErr) == fleet.StoreUnreachable {
+		s.backoff.RecordFailure(time.Now(), reader.Name)
 	}
 }
 
-// leaderFirst moves the leader of a zone to the front.
+// leaderFirst moves the leader of a zone to the front of peers, in place.
 func leaderFirst(peers []Peer, leader string) []Peer {
-	for i, one := range peers {
-		if one.Name == leader {
+	for i, peer := range peers {
+		if peer.Name == leader {
 			copy(peers[1:i+1], peers[:i])
-			peers[0] = one
+			peers[0] = peer
 			break
 		}
 	}
 	return peers
 }
 
-// RankPeers returns nodes in the order in which they are to bear a duty. All nodes
-// agree on it, and it doesn't change for those that stay when others come and
-// go: the VMs that bear most go first, and among VMs of a class the two duties go
-// from opposite ends.
+// RankPeers returns the nodes in order of preference for a role. All nodes compute
+// the same order, and nodes that join or leave don't change the order of the rest:
+// VMs of the highest class come first, and within a class the two roles use
+// opposite orders.
 //
-// Guard: most VMs of a zone may be small ones, and a hash alone mostly puts one of
-// them first. Its link and processor then serve its callers late, and whoever waits for
-// its word.
-func RankPeers(peers []Peer, duty Role) []Peer {
+// Most VMs of a zone may be small ones, and a hash alone would usually put one of
+// them first. Its network link and CPU would then delay the node's own callers and
+// every node that waits for its answers.
+func RankPeers(peers []Peer, role Role) []Peer {
 	ranked := append([]Peer(nil), peers...)
-	sort.Slice(ranked, func(i, j int) bool { return PreferredFor(ranked[i], ranked[j], duty) })
+	sort.Slice(ranked, func(i, j int) bool { return PreferredFor(ranked[i], ranked[j], role) })
 	return ranked
 }
 
-// PreferredFor reports whether a node is to bear a duty rather than another one.
-func PreferredFor(a, b Peer, duty Role) bool {
+// PreferredFor reports whether a comes before b in the order of preference for a role.
+func PreferredFor(a, b Peer, role Role) bool {
 	switch {
 	case a.Capacity != b.Capacity:
 		return a.Capacity > b.Capacity
-	case duty == Dispatcher:
+	case role == Dispatcher:
 		return rank(a) < rank(b)
 	}
-	// In the opposite order, so that no VM of a class bears both while there is another one.
+	// Opposite order, so that no VM takes both roles while there is another one of its class.
 	return rank(a) > rank(b)
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -20,7 +20,7 @@
 
 var errDown = errors.New("down")
 
-func noneSame(string) relay.EqualValues { return nil }
+func noEquality(string) relay.EqualValues { return nil }
 
 func row(key string, version int64) fleet.Row {
 	return fleet.Row{Table: "t", Key: key, Value: []byte(key), Version: version}
@@ -38,7 +38,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := relay.NewMirror(nil)
 		_, err := m.List(context.Background())
-		require.Equal(t, fleet.StoreUnavailable, redwinghall.KindOf[fleet.StoreKind](err), "nothing was read yet")
+		require.Equal(t, fleet.StoreUnavailable, redwinghall.KindOf[fleet.StoreKind](err), "the table was never read")
 		m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}, Rows: []fleet.Row{row("a", 3), row("b", 4)}})
 		gone := row("a", 12)
 		gone.Removed = true
@@ -48,24 +48,23 @@
 		require.Equal(t, []string{"b", "c"}, keys(list.Rows.Rows))
 		changes, err := m.Changes(context.Background(), fleet.Position{Version: 10}, time.Second)
 		require.NoError(t, err)
-		require.Equal(t, []string{"c", "a"}, keys(changes.Rows.Rows), "in the order of their versions, removals too")
+		require.Equal(t, []string{"c", "a"}, keys(changes.Rows.Rows), "in the order of their versions, including removals")
 		_, err = m.Changes(context.Background(), fleet.Position{Version: 9}, time.Second)
-		require.Equal(t, fleet.StoreHistoryGone, redwinghall.KindOf[fleet.StoreKind](err), "what went before the list is not known")
+		require.Equal(t, fleet.StoreHistoryGone, redwinghall.KindOf[fleet.StoreKind](err), "changes before the list are not known")
 	})
 }
 
-// A gap in what was read would never close: whoever follows would miss rows.
-// All nodes of a zone are busy with endpoints that only say again what they
-// said before: who follows a reader hears of rows that say something new, and
-// of nothing else, and is not behind for that.
-func TestMirrorPassesOnOnlyNews(t *testing.T) {
+// Endpoints rewrite their entries without new values, and passing those writes on would
+// load all nodes of a zone. Changes reports only rows with a new value, and the position
+// advances nevertheless.
+func TestMirrorReportsOnlyNewValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := relay.NewMirror(bytes.Equal)
 		m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}, Rows: []fleet.Row{row("a", 3), row("b", 4)}})
 		again, other := row("a", 11), row("b", 12)
 		other.Value = []byte("changed")
-		news := m.ApplyChanges(time.Now(), fleet.Position{Version: 10}, fleet.Rows{At: fleet.Position{Version: 12}, Rows: []fleet.Row{again, other}})
-		require.Equal(t, []string{"b"}, keys(news.Rows))
+		updates := m.ApplyChanges(time.Now(), fleet.Position{Version: 10}, fleet.Rows{At: fleet.Position{Version: 12}, Rows: []fleet.Row{again, other}})
+		require.Equal(t, []string{"b"}, keys(updates.Rows))
 		changes, err := m.Changes(context.Background(), fleet.Position{Version: 10}, time.Second)
 		require.NoError(t, err)
 		require.Equal(t, []string{"b"}, keys(changes.Rows.Rows))
@@ -76,17 +75,18 @@
 		changes, err = m.Changes(context.Background(), fleet.Position{Version: 12}, 500*time.Millisecond)
 		require.NoError(t, err)
 		require.Empty(t, changes.Rows.Rows)
-		require.Equal(t, 500*time.Millisecond, time.Since(started), "nobody is woken")
+		require.Equal(t, 500*time.Millisecond, time.Since(started), "the wait is not ended early")
 
 		gone := row("a", 14)
 		gone.Removed = true
 		m.ApplyChanges(time.Now(), fleet.Position{Version: 13}, fleet.Rows{At: fleet.Position{Version: 14}, Rows: []fleet.Row{gone}})
-		news = m.ApplyChanges(time.Now(), fleet.Position{Version: 14}, fleet.Rows{At: fleet.Position{Version: 15}, Rows: []fleet.Row{row("a", 15)}})
-		require.Equal(t, []string{"a"}, keys(news.Rows), "a row that was gone is news")
+		updates = m.ApplyChanges(time.Now(), fleet.Position{Version: 14}, fleet.Rows{At: fleet.Position{Version: 15}, Rows: []fleet.Row{row("a", 15)}})
+		require.Equal(t, []string{"a"}, keys(updates.Rows), "a row that was removed and added again is reported")
 	})
 }
 
-func TestMirrorWithAGapAnswersNothing(t *testing.T) {
+// A gap in the changes is never filled later: nodes that read from the mirror would miss rows.
+func TestMirrorWithAGapReturnsErrors(t *testing.T) {
 	m := relay.NewMirror(nil)
 	m.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 10}})
 	m.ApplyChanges(time.Now(), fleet.Position{Version: 20}, fleet.Rows{At: fleet.Position{Version: 21}, Rows: []fleet.Row{row("x", 21)}})
@@ -95,10 +95,10 @@
 	require.False(t, m.Continues(fleet.Position{Version: 21}))
 }
 
-// A withdrawn key goes on working at a node: it follows a reader that lost the
-// store, and waits there. The wait must end as soon as the reader knows, and
-// when it doesn't know, before its word is old.
-func TestMirrorEndsWaitsWhenTheStoreIsLost(t *testing.T) {
+// A node that waits at a reader without a connection to the store would go on accepting a
+// revoked API key. The wait must end as soon as the reader notices, and if it doesn't
+// notice, before its copy is stale.
+func TestMirrorEndsWaitsWhenTheStoreIsUnreachable(t *testing.T) {
 	for name, lose := range map[string]bool{"lost": true, "silent": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -116,10 +116,10 @@
 	}
 }
 
-// The small VMs of a zone are many, and a hash alone mostly gives them what one node does
-// for all: their callers wait behind it. All nodes agree on the order, and duties
-// fall on different VMs of the strongest class.
-func TestRankedPutsStrongVMsFirst(t *testing.T) {
+// Most VMs of a zone are small, and a hash alone would usually assign the zone's roles to
+// them, which delays their callers. All nodes compute the same order, and the two roles
+// are assigned to different VMs of the highest class.
+func TestRankPeersPutsLargeVMsFirst(t *testing.T) {
 	var peers []relay.Peer
 	for i := range 40 {
 		peers = append(peers, relay.Peer{Name: fmt.Sprint("n", i), Capacity: -2})
@@ -128,27 +128,27 @@
 		peers[i].Capacity = 0
 	}
 	firsts := map[string]bool{}
-	for _, duty := range []relay.Role{relay.Reader, relay.Dispatcher} {
-		ranked := relay.RankPeers(peers, duty)
+	for _, role := range []relay.Role{relay.Reader, relay.Dispatcher} {
+		ranked := relay.RankPeers(peers, role)
 		for _, one := range ranked[:3] {
 			require.Zero(t, one.Capacity)
 		}
 		firsts[ranked[0].Name] = true
 		slices.Reverse(peers)
-		require.Equal(t, ranked, relay.RankPeers(peers, duty))
+		require.Equal(t, ranked, relay.RankPeers(peers, role))
 		var rest []relay.Peer
 		for _, one := range peers {
 			if one.Capacity < 0 {
 				rest = append(rest, one)
 			}
 		}
-		require.Equal(t, ranked[3:], relay.RankPeers(rest, duty), "when all strong ones are lost, the others keep their order")
+		require.Equal(t, ranked[3:], relay.RankPeers(rest, role), "without the large VMs, the others keep their order")
 	}
 	require.Len(t, firsts, 2)
 }
 
-// A node that fails is left alone, longer each time, until it works again.
-func TestAvoided(t *testing.T) {
+// The backoff of a node grows with each failure and is reset by a success.
+func TestPeerBackoff(t *testing.T) {
 	a := relay.NewPeerBackoff(time.Second, 3*time.Second)
 	now, peers := time.Unix(100, 0), []relay.Peer{{Name: "x"}, {Name: "y"}}
 	first := func(at time.Time) string {
@@ -159,7 +159,7 @@
 	a.RecordFailure(now, "x")
 	a.RecordFailure(now.Add(10*time.Millisecond), "x")
 	require.Equal(t, "y", first(now.Add(900*time.Millisecond)))
-	require.Equal(t, "x", first(now.Add(1100*time.Millisecond)), "calls that fail together count once")
+	require.Equal(t, "x", first(now.Add(1100*time.Millisecond)), "concurrent failures count once")
 	a.RecordFailure(now.Add(2*time.Second), "x")
 	require.Equal(t, "y", first(now.Add(3900*time.Millisecond)))
 	a.RecordSuccess("x")
@@ -167,9 +167,9 @@
 	require.Equal(t, "x", first(now.Add(11100*time.Millisecond)))
 }
 
-// store counts calls and may be down.
+// store is a fake store that counts calls and can be made to fail.
 type store struct {
-	gone         bool // what was asked for is no longer known
+	historyGone  bool // the changes asked for are no longer known
 	down         bool
 	calls        int
 	commits      int
@@ -186,7 +186,7 @@
 }
 
 func (s *store) Changes(context.Context, string, fleet.Position, time.Duration) (fleet.Rows, error) {
-	if s.gone {
+	if s.historyGone {
 		return fleet.Rows{}, redwinghall.NewOpError("store.Changes", fleet.StoreHistoryGone, nil)
 	}
 	return s.List(context.Background(), "")
@@ -200,45 +200,46 @@
 	return fleet.Position{Era: s.rows.At.Era, Version: 7}, nil
 }
 
-// asker reaches the sources of other nodes by their address.
-type asker map[string]*relay.Source
+// peerClient calls the sources of other nodes by address.
+type peerClient map[string]*relay.Source
 
-func (a asker) List(ctx context.Context, address, table string) (relay.Answer, error) {
+func (a peerClient) List(ctx context.Context, address, table string) (relay.Answer, error) {
 	s, ok := a[address]
 	if !ok {
-		return relay.Answer{}, redwinghall.NewOpError("asker.List", fleet.StoreUnavailable, errDown)
+		return relay.Answer{}, redwinghall.NewOpError("peerClient.List", fleet.StoreUnavailable, errDown)
 	}
 	return s.Mirror(table).List(ctx)
 }
 
-func (a asker) Changes(ctx context.Context, address, table string, after fleet.Position, wait time.Duration) (relay.Answer, error) {
+func (a peerClient) Changes(ctx context.Context, address, table string, after fleet.Position, wait time.Duration) (relay.Answer, error) {
 	s, ok := a[address]
 	if !ok {
-		return relay.Answer{}, redwinghall.NewOpError("asker.Changes", fleet.StoreUnavailable, errDown)
+		return relay.Answer{}, redwinghall.NewOpError("peerClient.Changes", fleet.StoreUnavailable, errDown)
 	}
 	return s.Mirror(table).Changes(ctx, after, wait)
 }
 
-func (a asker) Commit(ctx context.Context, address string, txn fleet.Txn) (fleet.Position, error) {
+func (a peerClient) Commit(ctx context.Context, address string, txn fleet.Txn) (fleet.Position, error) {
 	s, ok := a[address]
 	if !ok {
-		return fleet.Position{}, redwinghall.NewOpError("asker.Commit", fleet.StoreUnavailable, errDown)
+		return fleet.Position{}, redwinghall.NewOpError("peerClient.Commit", fleet.StoreUnavailable, errDown)
 	}
 	return s.CommitDirect(ctx, txn)
 }
 
-// zone is several sources of one zone, each with a store of its own to count.
-func zone(names ...string) (asker, map[string]*relay.Source, map[string]*store) {
+// zone returns the sources of the nodes of one zone, each with its own store so that calls
+// are counted by node.
+func zone(names ...string) (peerClient, map[string]*relay.Source, map[string]*store) {
 	var peers []relay.Peer
 	for _, name := range names {
 		peers = append(peers, relay.Peer{Name: name, Address: name})
 	}
-	nodes, sources, stores := asker{}, map[string]*relay.Source{}, map[string]*store{}
+	nodes, sources, stores := peerClient{}, map[string]*relay.Source{}, map[string]*store{}
 	for _, name := range names {
 		stores[name] = &store{rows: fleet.Rows{At: fleet.Position{Version: 5}, Rows: []fleet.Row{row("a", 5)}}}
 		sources[name] = relay.NewSource(relay.Config{
 			Store: stores[name], PeerClient: nodes, Self: name, Peers: func() []relay.Peer { return peers },
-			RemotePeers: func() []relay.Peer { return nil }, Leader: func() string { return "n4" }, EqualFor: noneSame,
+			RemotePeers: func() []relay.Peer { return nil }, Leader: func() string { return "n4" }, EqualFor: noEquality,
 		})
 		nodes[name] = sources[name]
 	}
@@ -247,7 +248,7 @@
 
 var eight = []string{"n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"}
 
-// readAll lets all nodes read the table at once.
+// readAll lists the table at all nodes concurrently.
 func readAll(t *testing.T, sources map[string]*relay.Source) {
 	t.Helper()
 	var all sync.WaitGroup
@@ -269,9 +270,9 @@
 	return calls
 }
 
-// The calls to the store grow with the nodes, and the platform refuses them:
-// of a zone only the node that forms its groups reads the store, also when all
-// start at the same moment and none has read anything.
+// If calls to the store grew with the number of nodes, the platform would refuse them. Of a
+// zone, only the node that forms its groups reads the store, even when all nodes start at
+// the same moment and none has read anything.
 func TestOnlyTheLeaderCallsTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, sources, stores := zone(eight...)
@@ -288,8 +289,8 @@
 	})
 }
 
-// The reader dies. Each node reads the store once to be sure, and then the next
-// one in line reads for all, from where the dead one was.
+// When the reader dies, each node reads the store at most once itself; then the next node
+// in line reads for all and continues from the position of the dead reader.
 func TestNextNodeReadsWhenTheReaderDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes, sources, stores := zone(eight...)
@@ -309,20 +310,19 @@
 			}
 		}
 		require.Equal(t, 1, calling)
-		require.True(t, sources["n1"].Mirror("t").Continues(fleet.Position{Version: 5}), "who followed can go on from there")
+		require.True(t, sources["n1"].Mirror("t").Continues(fleet.Position{Version: 5}), "a node that read from the dead reader can continue from its position")
 	})
 }
 
-// The readers are down or lost the store: a node reads the store itself.
-// The store is down for 10 s, and then busy with the nodes that all ask it. In
-// an outage only the reader asks on at its pace, and all know of the return
-// within 2 s, each by way of the reader.
+// The store is down for 10 s, and would then be overloaded if all nodes called it. During
+// an outage only the reader calls at its normal rate, and all nodes notice the recovery
+// within 2 s, through the reader.
 func TestOutageIsProbedByFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, sources, stores := zone(eight...)
 		readAll(t, sources)
 		setDown(stores, true)
-		time.Sleep(1300 * time.Millisecond) // until what was read before counts no more
+		time.Sleep(1300 * time.Millisecond) // until the rows read before are stale
 		for range 20 {
 			for _, s := range sources {
 				_, err := s.Changes(context.Background(), "t", fleet.Position{Version: 5}, time.Millisecond)
@@ -350,8 +350,8 @@
 	})
 }
 
-// The store is away, and forty nodes of a zone ask whether it is back: together they
-// must not ask more often than a few do.
+// The store is unreachable, and forty nodes of a zone probe it. Their total rate of calls
+// must not exceed that of a few nodes.
 func TestOutageOfALargeZoneIsProbedByFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var names []string
@@ -361,7 +361,7 @@
 		_, sources, stores := zone(names...)
 		readAll(t, sources)
 		setDown(stores, true)
-		time.Sleep(1300 * time.Millisecond) // until what was read before counts no more
+		time.Sleep(1300 * time.Millisecond) // until the rows read before are stale
 		const length = 8 * time.Second
 		for began := time.Now(); time.Since(began) < length; time.Sleep(500 * time.Millisecond) {
 			for _, s := range sources {
@@ -369,7 +369,7 @@
 				require.Error(t, err)
 			}
 		}
-		calls := -callsOf(stores)["n4"] // the reader's
+		calls := -callsOf(stores)["n4"] // calls of the reader are not counted
 		for _, n := range callsOf(stores) {
 			calls += n
 		}
@@ -377,9 +377,9 @@
 	})
 }
 
-// The store turns only the reader away. The others must not call the store for
-// as long as that lasts: the next in line reads for all.
-func TestReaderTurnedAwayIsPassedOver(t *testing.T) {
+// The store refuses only the reader. The others must not all call the store for as long as
+// that lasts: the next node in line reads for all.
+func TestReaderRefusedByTheStoreIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, sources, stores := zone(eight...)
 		readAll(t, sources)
@@ -407,7 +407,8 @@
 	}
 }
 
-func TestNodeReadsItselfWithoutReaders(t *testing.T) {
+// If no reader answers or has a connection to the store, a node reads the store itself.
+func TestNodeReadsTheStoreWhenNoPeerAnswers(t *testing.T) {
 	nodes, sources, stores := zone("n1", "n2", "n3", "n4", "n5")
 	for name := range sources {
 		delete(nodes, name)
@@ -420,9 +421,9 @@
 	}
 }
 
-// The store turns one node away and serves the others: it reads, and commits,
-// by way of another one.
-func TestNodeThatTheStoreTurnsAwayIsHelped(t *testing.T) {
+// The store refuses one node and serves the others: the node reads and commits through
+// another one.
+func TestNodeRefusedByTheStoreUsesAPeer(t *testing.T) {
 	_, sources, stores := zone("n1", "n2", "n3")
 	_, err := sources["n2"].List(context.Background(), "t")
 	require.NoError(t, err)
@@ -439,8 +440,8 @@
 	require.Equal(t, fleet.Position{Version: 7}, version)
 }
 
-// A transaction whose answer was lost may have been carried out. Another node
-// must not send it again.
+// A transaction whose response was lost may have been carried out, so it must not be sent
+// again through another node.
 func TestUnknownCommitIsNotRepeated(t *testing.T) {
 	_, sources, stores := zone("n1", "n2")
 	stores["n1"].commitErrors = fleet.StoreOutcomeUnknown
