--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -13,8 +13,8 @@
 	// Shunned holds the endpoints that the asking node leaves alone, as they
 	// didn't answer it.
 	Shunned []string
-	// GoesOn says that the stream was begun elsewhere and is worth finishing late.
-	GoesOn bool
+	// Resumed says that the stream was begun elsewhere and is worth finishing late.
+	Resumed bool
 	// Node is the asking node.
 	Node string
 	// Ticket numbers what a node asks in its own zone; it is 0 in another zone.
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -127,7 +127,7 @@
 // placement returns what a zone needs to know of the stream.
 func (c *streamCall) placement(ask balance.Ask) fleet.PlacementRequest {
 	request := fleet.PlacementRequest{
-		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, GoesOn: ask.GoesOn,
+		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, Resumed: ask.GoesOn,
 	}
 	for id := range ask.Tried {
 		request.Tried = append(request.Tried, id)
--- a/node/placement.go
+++ b/node/placement.go
@@ -97,7 +97,7 @@
 	heads := view.Heads(request.Service, request.Model)
 	ask := balance.Ask{
 		Service: service, Model: model, Zone: n.settings.Zone, Prompt: request.Prompt, Objective: request.Objective, Tried: tried,
-		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), Dispatches: n.dispatches(now), GoesOn: request.GoesOn,
+		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), Dispatches: n.dispatches(now), GoesOn: request.Resumed,
 		Lends: n.lenderShare(n.settings.Zone),
 	}
 	choice, none := n.tracker.Reserve(now, heads, view.ZonesOut, ask, balance.Claimant{Node: request.Node, Ticket: request.Ticket})
