--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -26,9 +26,9 @@
 	// Endpoint is the head of the chosen group, "" if none serves the stream in time.
 	Endpoint  string
 	Predicted time.Duration // until the first event
-	// Elsewhere is, where no group of the zone will do, another zone that may have
+	// AlternativeZone is, where no group of the zone will do, another zone that may have
 	// room, "" if none has as far as known.
-	Elsewhere string
+	AlternativeZone string
 	// Permitted says that the endpoint's limit allows for the stream.
 	Permitted bool
 	// LimitedFor is, where only limits keep the zone's groups from the stream, how long
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -54,7 +54,7 @@
 func (p *placer) Place(_ context.Context, zone string, _ fleet.PlacementRequest) (fleet.Placement, bool) {
 	p.asked = append(p.asked, zone)
 	id, ok := p.offers[zone]
-	return fleet.Placement{Endpoint: id, Predicted: 100 * time.Millisecond, Elsewhere: p.elsewhere}, ok
+	return fleet.Placement{Endpoint: id, Predicted: 100 * time.Millisecond, AlternativeZone: p.elsewhere}, ok
 }
 
 func engine() *fleet.Engine {
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -50,11 +50,11 @@
 	case !ok:
 		return dispatched{}, false
 	case placement.Endpoint == "":
-		klog.InfoS("dispatcher_has_no_room", "request", c.r.Ask.ID, "predicted", placement.Predicted, "elsewhere", placement.Elsewhere,
+		klog.InfoS("dispatcher_has_no_room", "request", c.r.Ask.ID, "predicted", placement.Predicted, "elsewhere", placement.AlternativeZone,
 			"limited_for", placement.LimitedFor)
 		// Without a prediction or a limit it knows of no group here. This node may, as
 		// their views differ for moments.
-		return dispatched{elsewhere: placement.Elsewhere, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
+		return dispatched{elsewhere: placement.AlternativeZone, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
 	}
 	now := time.Now()
 	placed, usable := c.offered(now, placement, ask)
--- a/neighbor/client.go
+++ b/neighbor/client.go
@@ -157,7 +157,7 @@
 		return fleet.Placement{}, c.failed("Client.Reserve", err)
 	}
 	return fleet.Placement{
-		Endpoint: out.GetEndpoint(), Predicted: time.Duration(out.GetPredictedUs()) * time.Microsecond, Elsewhere: out.GetElsewhere(),
+		Endpoint: out.GetEndpoint(), Predicted: time.Duration(out.GetPredictedUs()) * time.Microsecond, AlternativeZone: out.GetElsewhere(),
 		Permitted: out.GetPermitted(), LimitedFor: time.Duration(out.GetLimitedUs()) * time.Microsecond,
 	}, nil
 }
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -40,7 +40,7 @@
 		Told:    func(_ time.Time, node string, settled uint64) { o.settled[node] = settled },
 		Reserve: func(_ time.Time, request fleet.PlacementRequest) (fleet.Placement, bool) {
 			o.requests = append(o.requests, request)
-			return fleet.Placement{Endpoint: "e1", Predicted: 123 * time.Millisecond, Elsewhere: "b", Permitted: true, LimitedFor: 70 * time.Millisecond}, !o.ignorant
+			return fleet.Placement{Endpoint: "e1", Predicted: 123 * time.Millisecond, AlternativeZone: "b", Permitted: true, LimitedFor: 70 * time.Millisecond}, !o.ignorant
 		},
 		Limits: o.limits,
 		Permit: func(now time.Time, zone string, known balance.LimitWord) balance.Permit {
@@ -120,7 +120,7 @@
 		Shunned: []string{"e8"}, Node: "n1", Ticket: 17}
 	placement, err := client.Reserve(context.Background(), address, request)
 	require.NoError(t, err)
-	require.Equal(t, fleet.Placement{Endpoint: "e1", Predicted: 123 * time.Millisecond, Elsewhere: "b", Permitted: true, LimitedFor: 70 * time.Millisecond}, placement)
+	require.Equal(t, fleet.Placement{Endpoint: "e1", Predicted: 123 * time.Millisecond, AlternativeZone: "b", Permitted: true, LimitedFor: 70 * time.Millisecond}, placement)
 	require.Equal(t, []fleet.PlacementRequest{request}, o.requests)
 	o.ignorant = true
 	_, err = client.Reserve(context.Background(), address, request)
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -103,7 +103,7 @@
 		return nil, twirp.NewError(twirp.Unavailable, "the service or its model isn't known here")
 	}
 	return &rpc.ReserveResponse{
-		Endpoint: placement.Endpoint, PredictedUs: placement.Predicted.Microseconds(), Elsewhere: placement.Elsewhere,
+		Endpoint: placement.Endpoint, PredictedUs: placement.Predicted.Microseconds(), Elsewhere: placement.AlternativeZone,
 		Permitted: placement.Permitted, LimitedUs: placement.LimitedFor.Microseconds(),
 	}, nil
 }
