--- a/neighbor/board.go
+++ b/neighbor/board.go
@@ -10,8 +10,8 @@
 // boardTrust is how long the loads that a node last reported are used.
 const boardTrust = time.Second
 
-// Board gathers what the nodes of a zone, and the other zones, have at each endpoint.
-type Board struct {
+// LoadTable gathers what the nodes of a zone, and the other zones, have at each endpoint.
+type LoadTable struct {
 	mu    sync.Mutex
 	nodes map[string]reportedLoads
 	zones map[string]reportedLoads
@@ -24,19 +24,19 @@
 }
 
 // NewBoard returns an empty board.
-func NewBoard() *Board {
-	return &Board{nodes: map[string]reportedLoads{}, zones: map[string]reportedLoads{}}
+func NewBoard() *LoadTable {
+	return &LoadTable{nodes: map[string]reportedLoads{}, zones: map[string]reportedLoads{}}
 }
 
 // Put notes a node's loads.
-func (b *Board) Put(now time.Time, node string, loads map[string]balance.Load) {
+func (b *LoadTable) Put(now time.Time, node string, loads map[string]balance.Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.nodes[node] = reportedLoads{at: now, loads: loads}
 }
 
 // PutZone notes another zone's loads.
-func (b *Board) PutZone(now time.Time, zone string, loads map[string]balance.Load) {
+func (b *LoadTable) PutZone(now time.Time, zone string, loads map[string]balance.Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.zones[zone] = reportedLoads{at: now, loads: loads}
@@ -44,17 +44,17 @@
 
 // Others returns the sum of what all but one node of this zone have, as far as
 // they said so lately.
-func (b *Board) Others(now time.Time, except string) map[string]balance.Load {
+func (b *LoadTable) Others(now time.Time, except string) map[string]balance.Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return sumOf(now, b.nodes, except)
 }
 
 // Zone returns the sum of what the nodes of this zone have.
-func (b *Board) Zone(now time.Time) map[string]balance.Load { return b.Others(now, "") }
+func (b *LoadTable) Zone(now time.Time) map[string]balance.Load { return b.Others(now, "") }
 
 // Zones returns the sum of what the nodes of the other zones have.
-func (b *Board) Zones(now time.Time) map[string]balance.Load {
+func (b *LoadTable) Zones(now time.Time) map[string]balance.Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return sumOf(now, b.zones, "")
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -21,7 +21,7 @@
 // other is another node behind a real connection.
 type other struct {
 	mirror    *relay.Mirror
-	board     *neighbor.Board
+	board     *neighbor.LoadTable
 	suspected []string
 	commits   []fleet.Txn
 	commitErr error
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -20,7 +20,7 @@
 // Parts are what answers the calls of other nodes.
 type Parts struct {
 	Mirror  func(table string) *relay.Mirror
-	Board   *Board
+	Board   *LoadTable
 	Suspect func(ctx context.Context, endpointID string)
 	// Told is called when a node of this zone has told its loads, which are on the
 	// board by then.
--- a/node/node.go
+++ b/node/node.go
@@ -57,7 +57,7 @@
 	// source is the store, read by way of the zone's readers.
 	source    *relay.Source
 	neighbors *neighbor.Client
-	board     *neighbor.Board
+	board     *neighbor.LoadTable
 	group     *kernel.Group
 	stopping  atomic.Pointer[gateway.Stop] // nil unless a planned stop is under way
 	conns     *connections
