--- a/neighbor/board.go
+++ b/neighbor/board.go
@@ -23,8 +23,8 @@
 	loads map[string]balance.Load
 }
 
-// NewBoard returns an empty board.
-func NewBoard() *LoadTable {
+// NewLoadTable returns an empty board.
+func NewLoadTable() *LoadTable {
 	return &LoadTable{nodes: map[string]reportedLoads{}, zones: map[string]reportedLoads{}}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -72,7 +72,7 @@
 	store := platform.NewStore(s.StoreAddress)
 	n := &Node{
 		path: path, settings: s, book: directory.NewBook(), tracker: balance.NewTracker(), upstream: gateway.NewUpstream(),
-		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), board: neighbor.NewBoard(),
+		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), board: neighbor.NewLoadTable(),
 		avoided: relay.NewPeerBackoff(dispatcherFirst, dispatcherLongest),
 	}
 	n.source = relay.NewSource(relay.Config{
