--- a/neighbor/board.go
+++ b/neighbor/board.go
@@ -28,8 +28,8 @@
 	return &LoadTable{nodes: map[string]reportedLoads{}, zones: map[string]reportedLoads{}}
 }
 
-// Put notes a node's loads.
-func (b *LoadTable) Put(now time.Time, node string, loads map[string]balance.Load) {
+// SetNode notes a node's loads.
+func (b *LoadTable) SetNode(now time.Time, node string, loads map[string]balance.Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.nodes[node] = reportedLoads{at: now, loads: loads}
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -168,7 +168,7 @@
 func TestSharesLoadsAndSuspicions(t *testing.T) {
 	o, client, address := serve(t)
 	ctx := context.Background()
-	o.board.Put(time.Now(), "n2", map[string]balance.Load{"e1": {Requests: 3, Unstarted: 1, Unread: 500}})
+	o.board.SetNode(time.Now(), "n2", map[string]balance.Load{"e1": {Requests: 3, Unstarted: 1, Unread: 500}})
 	require.NoError(t, client.ShareZone(ctx, address, "zone-b", map[string]balance.Load{"e1": {Requests: 2}, "e2": {Requests: 1}}, nil))
 	word := neighbor.Word{Node: "n1", Loads: map[string]balance.Load{"e1": {Requests: 7}}, Settled: 12, WithOthers: true, WithZones: true}
 	shared, err := client.Share(ctx, address, word)
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -77,7 +77,7 @@
 		s.parts.Board.PutZone(now, in.GetNode(), decodeLoads(in.GetLoads()))
 		return &rpc.ShareResponse{}, nil
 	}
-	s.parts.Board.Put(now, in.GetNode(), decodeLoads(in.GetLoads()))
+	s.parts.Board.SetNode(now, in.GetNode(), decodeLoads(in.GetLoads()))
 	s.parts.Told(now, in.GetNode(), in.GetSettled())
 	out := &rpc.ShareResponse{Limits: encodeLimits(s.parts.Limits.ChangedLimits(now))}
 	if in.GetWithLimits() {
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -59,7 +59,7 @@
 	}
 	s.toldAt, s.told, s.toldLimits = now, word.Loads, len(word.Limits)
 	if n.gathers(now) {
-		n.board.Put(now, word.Node, word.Loads)
+		n.board.SetNode(now, word.Node, word.Loads)
 		n.takeBoard(now)
 		s.learnLimits(ctx, now, word)
 		return
