--- a/neighbor/board.go
+++ b/neighbor/board.go
@@ -35,8 +35,8 @@
 	b.nodes[node] = reportedLoads{at: now, loads: loads}
 }
 
-// PutZone notes another zone's loads.
-func (b *LoadTable) PutZone(now time.Time, zone string, loads map[string]balance.Load) {
+// SetZone notes another zone's loads.
+func (b *LoadTable) SetZone(now time.Time, zone string, loads map[string]balance.Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.zones[zone] = reportedLoads{at: now, loads: loads}
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -74,7 +74,7 @@
 	now := time.Now()
 	s.parts.Limits.LearnLimits(now, decodeLimits(in.GetLimits()))
 	if in.GetZone() {
-		s.parts.Board.PutZone(now, in.GetNode(), decodeLoads(in.GetLoads()))
+		s.parts.Board.SetZone(now, in.GetNode(), decodeLoads(in.GetLoads()))
 		return &rpc.ShareResponse{}, nil
 	}
 	s.parts.Board.SetNode(now, in.GetNode(), decodeLoads(in.GetLoads()))
