--- a/neighbor/board.go
+++ b/neighbor/board.go
@@ -42,16 +42,16 @@
 	b.zones[zone] = reportedLoads{at: now, loads: loads}
 }
 
-// Others returns the sum of what all but one node of this zone have, as far as
+// SumOfOthers returns the sum of what all but one node of this zone have, as far as
 // they said so lately.
-func (b *LoadTable) Others(now time.Time, except string) map[string]balance.Load {
+func (b *LoadTable) SumOfOthers(now time.Time, except string) map[string]balance.Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return sumOf(now, b.nodes, except)
 }
 
 // Zone returns the sum of what the nodes of this zone have.
-func (b *LoadTable) Zone(now time.Time) map[string]balance.Load { return b.Others(now, "") }
+func (b *LoadTable) Zone(now time.Time) map[string]balance.Load { return b.SumOfOthers(now, "") }
 
 // Zones returns the sum of what the nodes of the other zones have.
 func (b *LoadTable) Zones(now time.Time) map[string]balance.Load {
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -84,7 +84,7 @@
 		out.Limits = encodeLimits(s.parts.Limits.Limits(now))
 	}
 	if in.GetWithOthers() {
-		out.Loads = encodeLoads(s.parts.Board.Others(now, in.GetNode()))
+		out.Loads = encodeLoads(s.parts.Board.SumOfOthers(now, in.GetNode()))
 	}
 	if in.GetWithZones() {
 		out.Zones = encodeLoads(s.parts.Board.Zones(now))
