--- a/neighbor/board.go
+++ b/neighbor/board.go
@@ -50,8 +50,8 @@
 	return sumOf(now, b.nodes, except)
 }
 
-// Zone returns the sum of what the nodes of this zone have.
-func (b *LoadTable) Zone(now time.Time) map[string]balance.Load { return b.SumOfOthers(now, "") }
+// SumOfZone returns the sum of what the nodes of this zone have.
+func (b *LoadTable) SumOfZone(now time.Time) map[string]balance.Load { return b.SumOfOthers(now, "") }
 
 // Zones returns the sum of what the nodes of the other zones have.
 func (b *LoadTable) Zones(now time.Time) map[string]balance.Load {
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -180,7 +180,7 @@
 	require.NoError(t, err)
 	require.Empty(t, shared.Zones, "they are many, and asked for now and then")
 	require.Empty(t, shared.Others, "a node that doesn't choose itself seldom asks for them")
-	require.Equal(t, 10, o.board.Zone(time.Now())["e1"].Requests, "the zone's own nodes only")
+	require.Equal(t, 10, o.board.SumOfZone(time.Now())["e1"].Requests, "the zone's own nodes only")
 	require.Empty(t, o.board.SumOfOthers(time.Now().Add(time.Minute), ""), "old words don't count")
 	require.Empty(t, o.board.Zones(time.Now().Add(time.Minute)))
 
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -79,7 +79,7 @@
 			if !ok || !n.gathers(now) {
 				return
 			}
-			if err := n.neighbors.ShareZone(ctx, theirs.Address, n.settings.Zone, n.board.Zone(now), n.tracker.ChangedLimits(now)); err != nil {
+			if err := n.neighbors.ShareZone(ctx, theirs.Address, n.settings.Zone, n.board.SumOfZone(now), n.tracker.ChangedLimits(now)); err != nil {
 				n.undispatched(time.Now(), zone, theirs, err)
 			}
 		})
