--- a/neighbor/board.go
+++ b/neighbor/board.go
@@ -53,8 +53,8 @@
 // SumOfZone returns the sum of what the nodes of this zone have.
 func (b *LoadTable) SumOfZone(now time.Time) map[string]balance.Load { return b.SumOfOthers(now, "") }
 
-// Zones returns the sum of what the nodes of the other zones have.
-func (b *LoadTable) Zones(now time.Time) map[string]balance.Load {
+// SumOfOtherZones returns the sum of what the nodes of the other zones have.
+func (b *LoadTable) SumOfOtherZones(now time.Time) map[string]balance.Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return sumOf(now, b.zones, "")
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -182,7 +182,7 @@
 	require.Empty(t, shared.Others, "a node that doesn't choose itself seldom asks for them")
 	require.Equal(t, 10, o.board.SumOfZone(time.Now())["e1"].Requests, "the zone's own nodes only")
 	require.Empty(t, o.board.SumOfOthers(time.Now().Add(time.Minute), ""), "old words don't count")
-	require.Empty(t, o.board.Zones(time.Now().Add(time.Minute)))
+	require.Empty(t, o.board.SumOfOtherZones(time.Now().Add(time.Minute)))
 
 	require.NoError(t, client.Suspect(ctx, address, "e1"))
 	require.Equal(t, []string{"e1"}, o.suspected)
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -87,7 +87,7 @@
 		out.Loads = encodeLoads(s.parts.Board.SumOfOthers(now, in.GetNode()))
 	}
 	if in.GetWithZones() {
-		out.Zones = encodeLoads(s.parts.Board.Zones(now))
+		out.Zones = encodeLoads(s.parts.Board.SumOfOtherZones(now))
 	}
 	return out, nil
 }
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -62,5 +62,5 @@
 // takeBoard takes in what the board shows of others' loads.
 func (n *Node) takeBoard(now time.Time) {
 	n.tracker.SetOthers(now, n.board.SumOfOthers(now, n.settings.Node))
-	n.tracker.SetZones(now, n.board.Zones(now))
+	n.tracker.SetZones(now, n.board.SumOfOtherZones(now))
 }
