--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -17,8 +17,8 @@
 // longestWait bounds how long a caller may wait for changes.
 const longestWait = 5 * time.Second
 
-// Parts are what answers the calls of other nodes.
-type Parts struct {
+// ServerConfig are what answers the calls of other nodes.
+type ServerConfig struct {
 	Mirror  func(table string) *relay.Mirror
 	Board   *LoadTable
 	Suspect func(ctx context.Context, endpointID string)
@@ -38,14 +38,14 @@
 
 // Server answers other nodes.
 type Server struct {
-	parts Parts
+	parts ServerConfig
 	packs packer
 }
 
 var _ rpc.Neighbor = (*Server)(nil)
 
 // NewHandler returns the handler of a node's internal address.
-func NewHandler(parts Parts) http.Handler {
+func NewHandler(parts ServerConfig) http.Handler {
 	return rpc.NewNeighborServer(&Server{parts: parts, packs: packer{last: map[string]packedRows{}}})
 }
 
