--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	o := &other{mirror: relay.NewMirror(nil), board: neighbor.NewLoadTable(), settled: map[string]uint64{}, limits: balance.NewTracker()}
 	server := httptest.NewServer(neighbor.NewHandler(neighbor.ServerConfig{
-		Mirror: func(string) *relay.Mirror { return o.mirror }, Board: o.board,
+		Mirror: func(string) *relay.Mirror { return o.mirror }, Loads: o.board,
 		Suspect: func(_ context.Context, id string) { o.suspected = append(o.suspected, id) },
 		Told:    func(_ time.Time, node string, settled uint64) { o.settled[node] = settled },
 		Reserve: func(_ time.Time, request fleet.PlacementRequest) (fleet.Placement, bool) {
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -20,7 +20,7 @@
 // ServerConfig are what answers the calls of other nodes.
 type ServerConfig struct {
 	Mirror  func(table string) *relay.Mirror
-	Board   *LoadTable
+	Loads   *LoadTable
 	Suspect func(ctx context.Context, endpointID string)
 	// Told is called when a node of this zone has told its loads, which are on the
 	// board by then.
@@ -74,20 +74,20 @@
 	now := time.Now()
 	s.parts.Limits.LearnLimits(now, decodeLimits(in.GetLimits()))
 	if in.GetZone() {
-		s.parts.Board.SetZone(now, in.GetNode(), decodeLoads(in.GetLoads()))
+		s.parts.Loads.SetZone(now, in.GetNode(), decodeLoads(in.GetLoads()))
 		return &rpc.ShareResponse{}, nil
 	}
-	s.parts.Board.SetNode(now, in.GetNode(), decodeLoads(in.GetLoads()))
+	s.parts.Loads.SetNode(now, in.GetNode(), decodeLoads(in.GetLoads()))
 	s.parts.Told(now, in.GetNode(), in.GetSettled())
 	out := &rpc.ShareResponse{Limits: encodeLimits(s.parts.Limits.ChangedLimits(now))}
 	if in.GetWithLimits() {
 		out.Limits = encodeLimits(s.parts.Limits.Limits(now))
 	}
 	if in.GetWithOthers() {
-		out.Loads = encodeLoads(s.parts.Board.SumOfOthers(now, in.GetNode()))
+		out.Loads = encodeLoads(s.parts.Loads.SumOfOthers(now, in.GetNode()))
 	}
 	if in.GetWithZones() {
-		out.Zones = encodeLoads(s.parts.Board.SumOfOtherZones(now))
+		out.Zones = encodeLoads(s.parts.Loads.SumOfOtherZones(now))
 	}
 	return out, nil
 }
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -60,7 +60,7 @@
 	return &http.Server{
 		Addr: n.internalAddress(), ReadHeaderTimeout: smallHeaderTimeout,
 		Handler: neighbor.NewHandler(neighbor.ServerConfig{
-			Mirror: n.source.Mirror, Board: n.board, Suspect: n.manager.Stalled,
+			Mirror: n.source.Mirror, Loads: n.board, Suspect: n.manager.Stalled,
 			Commit: n.source.CommitDirect, Reserve: n.reserve, Told: n.told,
 			Limits: n.tracker, Permit: n.lend,
 		}),
