--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -37,7 +37,7 @@
 	server := httptest.NewServer(neighbor.NewHandler(neighbor.ServerConfig{
 		Mirror: func(string) *relay.Mirror { return o.mirror }, Loads: o.board,
 		Suspect: func(_ context.Context, id string) { o.suspected = append(o.suspected, id) },
-		Told:    func(_ time.Time, node string, settled uint64) { o.settled[node] = settled },
+		OnLoads: func(_ time.Time, node string, settled uint64) { o.settled[node] = settled },
 		Reserve: func(_ time.Time, request fleet.PlacementRequest) (fleet.Placement, bool) {
 			o.requests = append(o.requests, request)
 			return fleet.Placement{Endpoint: "e1", Predicted: 123 * time.Millisecond, AlternativeZone: "b", Permitted: true, LimitedFor: 70 * time.Millisecond}, !o.ignorant
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -22,9 +22,9 @@
 	Mirror  func(table string) *relay.Mirror
 	Loads   *LoadTable
 	Suspect func(ctx context.Context, endpointID string)
-	// Told is called when a node of this zone has told its loads, which are on the
+	// OnLoads is called when a node of this zone has told its loads, which are on the
 	// board by then.
-	Told func(now time.Time, node string, settled uint64)
+	OnLoads func(now time.Time, node string, settled uint64)
 	// Reserve chooses a group of this zone for another node's stream.
 	// ok is false if this node knows too little to choose.
 	Reserve func(now time.Time, request fleet.PlacementRequest) (placement fleet.Placement, ok bool)
@@ -78,7 +78,7 @@
 		return &rpc.ShareResponse{}, nil
 	}
 	s.parts.Loads.SetNode(now, in.GetNode(), decodeLoads(in.GetLoads()))
-	s.parts.Told(now, in.GetNode(), in.GetSettled())
+	s.parts.OnLoads(now, in.GetNode(), in.GetSettled())
 	out := &rpc.ShareResponse{Limits: encodeLimits(s.parts.Limits.ChangedLimits(now))}
 	if in.GetWithLimits() {
 		out.Limits = encodeLimits(s.parts.Limits.Limits(now))
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -61,7 +61,7 @@
 		Addr: n.internalAddress(), ReadHeaderTimeout: smallHeaderTimeout,
 		Handler: neighbor.NewHandler(neighbor.ServerConfig{
 			Mirror: n.source.Mirror, Loads: n.board, Suspect: n.manager.Stalled,
-			Commit: n.source.CommitDirect, Reserve: n.reserve, Told: n.told,
+			Commit: n.source.CommitDirect, Reserve: n.reserve, OnLoads: n.told,
 			Limits: n.tracker, Permit: n.lend,
 		}),
 	}
