--- a/neighbor/client.go
+++ b/neighbor/client.go
@@ -101,8 +101,8 @@
 	Limits []balance.LimitWord     // that changed lately, or all if it asked for them
 }
 
-// Word is what a node tells of its loads.
-type Word struct {
+// LoadReport is what a node tells of its loads.
+type LoadReport struct {
 	Node  string
 	Loads map[string]balance.Load
 	// Settled says that all streams of the node's tickets below it are in Loads.
@@ -117,7 +117,7 @@
 }
 
 // Share hands over this node's loads and returns the sums of the others' that it asks for.
-func (c *Client) Share(ctx context.Context, address string, word Word) (Shared, error) {
+func (c *Client) Share(ctx context.Context, address string, word LoadReport) (Shared, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	out, err := c.clientOf(address).Share(ctx, &rpc.ShareRequest{
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -144,14 +144,14 @@
 	o, client, address := serve(t)
 	ctx := context.Background()
 	two := balance.LimitWord{Endpoint: "e1", Limit: fleet.RateLimit{Named: true, PerSecond: 2}, Age: 10 * time.Millisecond}
-	shared, err := client.Share(ctx, address, neighbor.Word{Node: "n1", Limits: []balance.LimitWord{two}})
+	shared, err := client.Share(ctx, address, neighbor.LoadReport{Node: "n1", Limits: []balance.LimitWord{two}})
 	require.NoError(t, err)
 	require.Len(t, shared.Limits, 1)
 	require.Equal(t, two.Limit, shared.Limits[0].Limit)
 	require.GreaterOrEqual(t, shared.Limits[0].Age, two.Age)
 	one := balance.LimitWord{Endpoint: "e2", Limit: fleet.RateLimit{Named: true, PerSecond: 1}}
 	require.NoError(t, client.ShareZone(ctx, address, "zone-b", nil, []balance.LimitWord{one}))
-	shared, err = client.Share(ctx, address, neighbor.Word{Node: "n2", WithLimits: true})
+	shared, err = client.Share(ctx, address, neighbor.LoadReport{Node: "n2", WithLimits: true})
 	require.NoError(t, err)
 	require.Len(t, shared.Limits, 2)
 	permit, err := client.Permit(ctx, address, "b", balance.LimitWord{Endpoint: "e1", Limit: one.Limit, Age: time.Minute})
@@ -170,13 +170,13 @@
 	ctx := context.Background()
 	o.board.SetNode(time.Now(), "n2", map[string]balance.Load{"e1": {Requests: 3, Unstarted: 1, Unread: 500}})
 	require.NoError(t, client.ShareZone(ctx, address, "zone-b", map[string]balance.Load{"e1": {Requests: 2}, "e2": {Requests: 1}}, nil))
-	word := neighbor.Word{Node: "n1", Loads: map[string]balance.Load{"e1": {Requests: 7}}, Settled: 12, WithOthers: true, WithZones: true}
+	word := neighbor.LoadReport{Node: "n1", Loads: map[string]balance.Load{"e1": {Requests: 7}}, Settled: 12, WithOthers: true, WithZones: true}
 	shared, err := client.Share(ctx, address, word)
 	require.Equal(t, uint64(12), o.settled["n1"])
 	require.NoError(t, err)
 	require.Equal(t, map[string]balance.Load{"e1": {Requests: 3, Unstarted: 1, Unread: 500}}, shared.Others)
 	require.Equal(t, map[string]balance.Load{"e1": {Requests: 2}, "e2": {Requests: 1}}, shared.Zones)
-	shared, err = client.Share(ctx, address, neighbor.Word{Node: word.Node, Loads: word.Loads})
+	shared, err = client.Share(ctx, address, neighbor.LoadReport{Node: word.Node, Loads: word.Loads})
 	require.NoError(t, err)
 	require.Empty(t, shared.Zones, "they are many, and asked for now and then")
 	require.Empty(t, shared.Others, "a node that doesn't choose itself seldom asks for them")
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -51,7 +51,7 @@
 func (s *sharer) share(ctx context.Context, now time.Time) {
 	n := s.node
 	// Settled first: what is settled by then is in the loads.
-	word := neighbor.Word{
+	word := neighbor.LoadReport{
 		Node: n.settings.Node, Settled: n.tracker.Tickets.Settled(), Loads: n.tracker.Own(now), Limits: n.tracker.HeardLimits(now),
 	}
 	if !s.due(now, word) {
@@ -70,7 +70,7 @@
 }
 
 // learnLimits asks another node for all limits if this one, which gathers, has just started.
-func (s *sharer) learnLimits(ctx context.Context, now time.Time, word neighbor.Word) {
+func (s *sharer) learnLimits(ctx context.Context, now time.Time, word neighbor.LoadReport) {
 	if s.limitsOf != "" {
 		return
 	}
@@ -83,13 +83,13 @@
 }
 
 // due reports whether a word has something new, or the last one is old.
-func (s *sharer) due(now time.Time, word neighbor.Word) bool {
+func (s *sharer) due(now time.Time, word neighbor.LoadReport) bool {
 	return now.Sub(s.toldAt) >= time.Duration(len(s.node.peers()))*sharePerNode ||
 		!maps.Equal(s.told, word.Loads) || s.toldLimits != len(word.Limits)
 }
 
 // ask tells the gatherer a word and takes its answer in.
-func (s *sharer) ask(ctx context.Context, now time.Time, peer relay.Peer, word neighbor.Word) {
+func (s *sharer) ask(ctx context.Context, now time.Time, peer relay.Peer, word neighbor.LoadReport) {
 	n := s.node
 	_, dispatched := n.dispatcher(now, n.settings.Zone)
 	word.WithOthers = !dispatched || now.Sub(s.heardOthers) >= hearOthers
