--- a/neighbor/client.go
+++ b/neighbor/client.go
@@ -94,8 +94,8 @@
 	return fleet.Position{}, redwinghall.NewOpError("Client.Commit", kind, err)
 }
 
-// Shared is what a node is told of loads.
-type Shared struct {
+// ShareResult is what a node is told of loads.
+type ShareResult struct {
 	Others map[string]balance.Load // of the other nodes of the zone, if it asked for them
 	Zones  map[string]balance.Load // of the other zones, if it asked for them
 	Limits []balance.LimitWord     // that changed lately, or all if it asked for them
@@ -117,7 +117,7 @@
 }
 
 // Share hands over this node's loads and returns the sums of the others' that it asks for.
-func (c *Client) Share(ctx context.Context, address string, word LoadReport) (Shared, error) {
+func (c *Client) Share(ctx context.Context, address string, word LoadReport) (ShareResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	out, err := c.clientOf(address).Share(ctx, &rpc.ShareRequest{
@@ -125,9 +125,9 @@
 		WithZones: word.WithZones, Limits: encodeLimits(word.Limits), WithLimits: word.WithLimits,
 	})
 	if err != nil {
-		return Shared{}, c.failed("Client.Share", err)
+		return ShareResult{}, c.failed("Client.Share", err)
 	}
-	return Shared{Others: decodeLoads(out.GetLoads()), Zones: decodeLoads(out.GetZones()), Limits: decodeLimits(out.GetLimits())}, nil
+	return ShareResult{Others: decodeLoads(out.GetLoads()), Zones: decodeLoads(out.GetZones()), Limits: decodeLimits(out.GetLimits())}, nil
 }
 
 // ShareZone tells a node of another zone what the nodes of this zone have, and which
