--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -10,9 +10,9 @@
 	Objective time.Duration
 	// Tried holds the endpoints that have had the stream.
 	Tried []string
-	// Shunned holds the endpoints that the asking node leaves alone, as they
+	// InBackoff holds the endpoints that the asking node leaves alone, as they
 	// didn't answer it.
-	Shunned []string
+	InBackoff []string
 	// Resumed says that the stream was begun elsewhere and is worth finishing late.
 	Resumed bool
 	// Node is the asking node.
--- a/node/placement.go
+++ b/node/placement.go
@@ -90,7 +90,7 @@
 	for _, id := range request.Tried {
 		tried[id] = true
 	}
-	for _, id := range request.Shunned {
+	for _, id := range request.InBackoff {
 		tried[id] = true
 		n.tracker.Complain(now, id, request.Node)
 	}
