--- a/neighbor/compress.go
+++ b/neighbor/compress.go
@@ -11,44 +11,45 @@
 	"redwinghall/neighbor/rpc"
 )
 
-// packRows is the number of rows from which an answer is compressed.
-const packRows = 50
+// compressMinRows is the number of rows from which a response is compressed.
+const compressMinRows = 50
 
-// packer compresses answers, and keeps the last of each table.
+// rowCompressor compresses responses and caches the last result for each table.
 //
-// Gain: after a start of all nodes, the reader of a zone sends each of them the whole
-// table of endpoints. Its link is then what they wait for.
-type packer struct {
+// When all nodes start at once, the reader of a zone sends each of them the full table of
+// endpoints, and the bandwidth of its network link limits how fast they start.
+type rowCompressor struct {
 	mu   sync.Mutex
-	last map[string]packedRows // by table
+	last map[string]compressedRows // by table
 }
 
-type packedRows struct {
+type compressedRows struct {
 	version int64
 	bytes   []byte
 }
 
-// pack compresses the rows of an answer in place, if they are many.
-func (p *packer) pack(table string, answer *rpc.RowsResponse) error {
-	if len(answer.GetRows()) < packRows {
+// compress replaces the rows of a response by their compressed form, if there are at least
+// compressMinRows.
+func (c *rowCompressor) compress(table string, answer *rpc.RowsResponse) error {
+	if len(answer.GetRows()) < compressMinRows {
 		return nil
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	last, ok := p.last[table]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	last, ok := c.last[table]
 	if !ok || last.version != answer.GetVersion() {
-		packed, err := compress(answer.GetRows())
+		packed, err := deflateRows(answer.GetRows())
 		if err != nil {
 			return err
 		}
-		last = packedRows{version: answer.GetVersion(), bytes: packed}
-		p.last[table] = last
+		last = compressedRows{version: answer.GetVersion(), bytes: packed}
+		c.last[table] = last
 	}
 	answer.Rows, answer.Packed = nil, last.bytes
 	return nil
 }
 
-func compress(rows []*rpc.Row) ([]byte, error) {
+func deflateRows(rows []*rpc.Row) ([]byte, error) {
 	plain, err := proto.Marshal(&rpc.RowsResponse{Rows: rows})
 	if err != nil {
 		return nil, err
@@ -67,15 +68,16 @@
 	return out.Bytes(), nil
 }
 
-// unpackLimit bounds what is unpacked, as a few bytes may stand for very many.
-const unpackLimit = 64 << 20
+// maxDecompressedBytes limits the size of decompressed rows, since a few compressed bytes
+// can expand to very many.
+const maxDecompressedBytes = 64 << 20
 
-// unpack puts the rows of a compressed answer in their place.
-func unpack(answer *rpc.RowsResponse) error {
+// decompress replaces the compressed rows of a response by the rows.
+func decompress(answer *rpc.RowsResponse) error {
 	if len(answer.GetPacked()) == 0 {
 		return nil
 	}
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(answer.GetPacked())), unpackLimit))
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(answer.GetPacked())), maxDecompressedBytes))
 	if err != nil {
 		return err
 	}
--- a/neighbor/doc.go
+++ b/neighbor/doc.go
@@ -1,4 +1,4 @@
-// Package neighbor speaks to the other nodes of a deployment: it hands on what
-// a node read from the store, how much it has at each endpoint, and which
-// endpoints make little progress.
+// Package neighbor implements the calls between the nodes of a deployment. They pass on
+// rows that a node read from the store, the loads of the endpoints, and reports of
+// endpoints that make little or no progress.
 package neighbor
--- a/neighbor/encode.go
+++ b/neighbor/encode.go
@@ -57,10 +57,10 @@
 	return out, nil
 }
 
-// twirpCode returns what another node's error says, "" where it said nothing.
+// twirpCode returns the code of an error returned by another node, or "" for other errors.
 func twirpCode(err error) twirp.ErrorCode {
-	if answered, ok := err.(twirp.Error); ok { //nolint:errorlint // the library returns it bare
-		return answered.Code()
+	if twirpErr, ok := err.(twirp.Error); ok { //nolint:errorlint // the library returns it unwrapped
+		return twirpErr.Code()
 	}
 	return ""
 }
@@ -85,8 +85,8 @@
 	return out
 }
 
-func encodeLimit(word balance.LimitWord) *rpc.Limit {
-	return &rpc.Limit{Endpoint: word.Endpoint, Named: word.Limit.Named, PerSecond: word.Limit.PerSecond, AgeUs: word.Age.Microseconds()}
+func encodeLimit(limit balance.LimitWord) *rpc.Limit {
+	return &rpc.Limit{Endpoint: limit.Endpoint, Named: limit.Limit.Named, PerSecond: limit.Limit.PerSecond, AgeUs: limit.Age.Microseconds()}
 }
 
 func decodeLimit(in *rpc.Limit) balance.LimitWord {
@@ -96,10 +96,10 @@
 	}
 }
 
-func encodeLimits(words []balance.LimitWord) []*rpc.Limit {
-	out := make([]*rpc.Limit, 0, len(words))
-	for _, word := range words {
-		out = append(out, encodeLimit(word))
+func encodeLimits(limits []balance.LimitWord) []*rpc.Limit {
+	out := make([]*rpc.Limit, 0, len(limits))
+	for _, limit := range limits {
+		out = append(out, encodeLimit(limit))
 	}
 	return out
 }
--- a/neighbor/load_table.go
+++ b/neighbor/load_table.go
@@ -7,10 +7,11 @@
 	"redwinghall/balance"
 )
 
-// boardTrust is how long the loads that a node last reported are used.
-const boardTrust = time.Second
+// loadMaxAge is how long reported loads are used.
+const loadMaxAge = time.Second
 
-// LoadTable gathers what the nodes of a zone, and the other zones, have at each endpoint.
+// LoadTable collects the loads of the endpoints as reported by the nodes of this zone, and by
+// the other zones.
 type LoadTable struct {
 	mu    sync.Mutex
 	nodes map[string]reportedLoads
@@ -23,47 +24,47 @@
 	loads map[string]balance.Load
 }
 
-// NewLoadTable returns an empty board.
+// NewLoadTable returns an empty table.
 func NewLoadTable() *LoadTable {
 	return &LoadTable{nodes: map[string]reportedLoads{}, zones: map[string]reportedLoads{}}
 }
 
-// SetNode notes a node's loads.
-func (b *LoadTable) SetNode(now time.Time, node string, loads map[string]balance.Load) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.nodes[node] = reportedLoads{at: now, loads: loads}
+// SetNode stores the loads reported by a node of this zone.
+func (t *LoadTable) SetNode(now time.Time, node string, loads map[string]balance.Load) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.nodes[node] = reportedLoads{at: now, loads: loads}
 }
 
-// SetZone notes another zone's loads.
-func (b *LoadTable) SetZone(now time.Time, zone string, loads map[string]balance.Load) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.zones[zone] = reportedLoads{at: now, loads: loads}
+// SetZone stores the loads reported by another zone.
+func (t *LoadTable) SetZone(now time.Time, zone string, loads map[string]balance.Load) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.zones[zone] = reportedLoads{at: now, loads: loads}
 }
 
-// SumOfOthers returns the sum of what all but one node of this zone have, as far as
-// they said so lately.
-func (b *LoadTable) SumOfOthers(now time.Time, except string) map[string]balance.Load {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return sumOf(now, b.nodes, except)
+// SumOfOthers returns the total load from all nodes of this zone except one. Reports older
+// than loadMaxAge are left out.
+func (t *LoadTable) SumOfOthers(now time.Time, except string) map[string]balance.Load {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return sumOf(now, t.nodes, except)
 }
 
-// SumOfZone returns the sum of what the nodes of this zone have.
-func (b *LoadTable) SumOfZone(now time.Time) map[string]balance.Load { return b.SumOfOthers(now, "") }
+// SumOfZone returns the total load from the nodes of this zone.
+func (t *LoadTable) SumOfZone(now time.Time) map[string]balance.Load { return t.SumOfOthers(now, "") }
 
-// SumOfOtherZones returns the sum of what the nodes of the other zones have.
-func (b *LoadTable) SumOfOtherZones(now time.Time) map[string]balance.Load {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return sumOf(now, b.zones, "")
+// SumOfOtherZones returns the total load from the other zones.
+func (t *LoadTable) SumOfOtherZones(now time.Time) map[string]balance.Load {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return sumOf(now, t.zones, "")
 }
 
 func sumOf(now time.Time, entries map[string]reportedLoads, except string) map[string]balance.Load {
 	sum := map[string]balance.Load{}
 	for name, entry := range entries {
-		if now.Sub(entry.at) > boardTrust {
+		if now.Sub(entry.at) > loadMaxAge {
 			delete(entries, name)
 			continue
 		}
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -18,29 +18,29 @@
 	"redwinghall/relay"
 )
 
-// other is another node behind a real connection.
-type other struct {
-	mirror    *relay.Mirror
-	board     *neighbor.LoadTable
-	suspected []string
-	commits   []fleet.Txn
-	commitErr error
-	requests  []fleet.PlacementRequest
-	settled   map[string]uint64
-	ignorant  bool
-	limits    *balance.Tracker
+// remoteNode is a fake node that is called over a real connection.
+type remoteNode struct {
+	mirror     *relay.Mirror
+	loads      *neighbor.LoadTable
+	suspected  []string
+	commits    []fleet.Txn
+	commitErr  error
+	requests   []fleet.PlacementRequest
+	settled    map[string]uint64
+	uninformed bool
+	limits     *balance.Tracker
 }
 
-func serve(t *testing.T) (*other, *neighbor.Client, string) {
+func serve(t *testing.T) (*remoteNode, *neighbor.Client, string) {
 	t.Helper()
-	o := &other{mirror: relay.NewMirror(nil), board: neighbor.NewLoadTable(), settled: map[string]uint64{}, limits: balance.NewTracker()}
+	o := &remoteNode{mirror: relay.NewMirror(nil), loads: neighbor.NewLoadTable(), settled: map[string]uint64{}, limits: balance.NewTracker()}
 	server := httptest.NewServer(neighbor.NewHandler(neighbor.ServerConfig{
-		Mirror: func(string) *relay.Mirror { return o.mirror }, Loads: o.board,
+		Mirror: func(string) *relay.Mirror { return o.mirror }, Loads: o.loads,
 		Suspect: func(_ context.Context, id string) { o.suspected = append(o.suspected, id) },
 		OnLoads: func(_ time.Time, node string, settled uint64) { o.settled[node] = settled },
 		Reserve: func(_ time.Time, request fleet.PlacementRequest) (fleet.Placement, bool) {
 			o.requests = append(o.requests, request)
-			return fleet.Placement{Endpoint: "e1", Predicted: 123 * time.Millisecond, AlternativeZone: "b", Permitted: true, LimitedFor: 70 * time.Millisecond}, !o.ignorant
+			return fleet.Placement{Endpoint: "e1", Predicted: 123 * time.Millisecond, AlternativeZone: "b", Permitted: true, LimitedFor: 70 * time.Millisecond}, !o.uninformed
 		},
 		Limits: o.limits,
 		Permit: func(now time.Time, zone string, known balance.LimitWord) balance.Permit {
@@ -59,7 +59,7 @@
 	o, client, address := serve(t)
 	ctx := context.Background()
 	_, err := client.List(ctx, address, "t")
-	require.Equal(t, fleet.StoreUnavailable, redwinghall.KindOf[fleet.StoreKind](err), "it has read nothing yet")
+	require.Equal(t, fleet.StoreUnavailable, redwinghall.KindOf[fleet.StoreKind](err), "the table was never read")
 	rows := []fleet.Row{{Table: "t", Key: "a", Value: []byte{0, 1}, Version: 4}, {Table: "t", Key: "b", Version: 6, Removed: true}}
 	o.mirror.ApplyList(time.Now(), fleet.Rows{At: fleet.Position{Version: 5}, Rows: rows[:1]})
 	o.mirror.ApplyChanges(time.Now(), fleet.Position{Version: 5}, fleet.Rows{At: fleet.Position{Version: 6}, Rows: rows[1:]})
@@ -74,9 +74,9 @@
 	require.Equal(t, fleet.StoreHistoryGone, redwinghall.KindOf[fleet.StoreKind](err))
 }
 
-// All nodes start at once, and the reader's link is full of whole tables: many rows travel
-// compressed, and arrive as they are. A table that changed is compressed anew.
-func TestManyRowsTravelCompressed(t *testing.T) {
+// When all nodes start at once, sending full tables saturates the reader's network link.
+// Large responses are compressed, arrive unchanged, and are compressed again after a change.
+func TestLargeListsAreCompressed(t *testing.T) {
 	o, client, address := serve(t)
 	var rows []fleet.Row
 	for i := range 880 {
@@ -110,7 +110,7 @@
 	for _, kind := range []fleet.StoreKind{fleet.StoreConflict, fleet.StoreUnavailable, fleet.StoreOutcomeUnknown} {
 		o.commitErr = redwinghall.NewOpError("test", kind, nil)
 		_, err = client.Commit(context.Background(), address, txn)
-		require.Equal(t, kind, redwinghall.KindOf[fleet.StoreKind](err), "what is known of the outcome must not change on the way")
+		require.Equal(t, kind, redwinghall.KindOf[fleet.StoreKind](err), "the kind of error must survive the call")
 	}
 }
 
@@ -122,25 +122,26 @@
 	require.NoError(t, err)
 	require.Equal(t, fleet.Placement{Endpoint: "e1", Predicted: 123 * time.Millisecond, AlternativeZone: "b", Permitted: true, LimitedFor: 70 * time.Millisecond}, placement)
 	require.Equal(t, []fleet.PlacementRequest{request}, o.requests)
-	o.ignorant = true
+	o.uninformed = true
 	_, err = client.Reserve(context.Background(), address, request)
-	require.Error(t, err, "a node that knows too little must not pass for a full zone")
+	require.Error(t, err, "a node that lacks the information must not be taken for a zone without room")
 }
 
-// The other zone was cut off: the caller must not wait for its word for long.
-func TestReserveGivesUpSoon(t *testing.T) {
+// A node of another zone doesn't respond because the network is partitioned: the caller must
+// not wait for it longer than reserveTimeout.
+func TestReserveTimesOut(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { require.NoError(t, listener.Close()) }()
 	started := time.Now()
 	_, err = neighbor.NewClient().Reserve(context.Background(), listener.Addr().String(), fleet.PlacementRequest{})
 	require.Error(t, err)
-	require.Less(t, time.Since(started), 2*time.Second, "a bound that a busy machine keeps too")
+	require.Less(t, time.Since(started), 2*time.Second, "the bound allows for a busy machine")
 }
 
-// What one node knows of a limit reaches the others with its loads, and a permit's answer
-// brings what the one that lends knows.
-func TestLimitsTravel(t *testing.T) {
+// The limits that a node knows are passed on with its loads, and a response to a permit
+// request carries the limit that the other node knows.
+func TestLimitsArePassedOn(t *testing.T) {
 	o, client, address := serve(t)
 	ctx := context.Background()
 	two := balance.LimitWord{Endpoint: "e1", Limit: fleet.RateLimit{Named: true, PerSecond: 2}, Age: 10 * time.Millisecond}
@@ -156,33 +157,33 @@
 	require.Len(t, shared.Limits, 2)
 	permit, err := client.Permit(ctx, address, "b", balance.LimitWord{Endpoint: "e1", Limit: one.Limit, Age: time.Minute})
 	require.NoError(t, err)
-	require.False(t, permit.Given, "none is saved up when a limit begins")
+	require.False(t, permit.Given, "no permits are saved up when a limit takes effect")
 	require.Positive(t, permit.Wait)
-	require.Equal(t, two.Limit, permit.Limit.Limit, "the newest word counts")
+	require.Equal(t, two.Limit, permit.Limit.Limit, "the most recent limit applies")
 	permit, err = client.Permit(ctx, address, "b", balance.LimitWord{Endpoint: "free"})
 	require.NoError(t, err)
 	require.True(t, permit.Given)
 	require.Len(t, o.limits.Limits(time.Now()), 2)
 }
 
-func TestSharesLoadsAndSuspicions(t *testing.T) {
+func TestShareAndSuspect(t *testing.T) {
 	o, client, address := serve(t)
 	ctx := context.Background()
-	o.board.SetNode(time.Now(), "n2", map[string]balance.Load{"e1": {Requests: 3, Unstarted: 1, Unread: 500}})
+	o.loads.SetNode(time.Now(), "n2", map[string]balance.Load{"e1": {Requests: 3, Unstarted: 1, Unread: 500}})
 	require.NoError(t, client.ShareZone(ctx, address, "zone-b", map[string]balance.Load{"e1": {Requests: 2}, "e2": {Requests: 1}}, nil))
-	word := neighbor.LoadReport{Node: "n1", Loads: map[string]balance.Load{"e1": {Requests: 7}}, Settled: 12, WithOthers: true, WithZones: true}
-	shared, err := client.Share(ctx, address, word)
+	report := neighbor.LoadReport{Node: "n1", Loads: map[string]balance.Load{"e1": {Requests: 7}}, Settled: 12, WithOthers: true, WithZones: true}
+	shared, err := client.Share(ctx, address, report)
 	require.Equal(t, uint64(12), o.settled["n1"])
 	require.NoError(t, err)
 	require.Equal(t, map[string]balance.Load{"e1": {Requests: 3, Unstarted: 1, Unread: 500}}, shared.Others)
 	require.Equal(t, map[string]balance.Load{"e1": {Requests: 2}, "e2": {Requests: 1}}, shared.Zones)
-	shared, err = client.Share(ctx, address, neighbor.LoadReport{Node: word.Node, Loads: word.Loads})
+	shared, err = client.Share(ctx, address, neighbor.LoadReport{Node: report.Node, Loads: report.Loads})
 	require.NoError(t, err)
-	require.Empty(t, shared.Zones, "they are many, and asked for now and then")
-	require.Empty(t, shared.Others, "a node that doesn't choose itself seldom asks for them")
-	require.Equal(t, 10, o.board.SumOfZone(time.Now())["e1"].Requests, "the zone's own nodes only")
-	require.Empty(t, o.board.SumOfOthers(time.Now().Add(time.Minute), ""), "old words don't count")
-	require.Empty(t, o.board.SumOfOtherZones(time.Now().Add(time.Minute)))
+	require.Empty(t, shared.Zones, "the loads from other zones are many and sent only on request")
+	require.Empty(t, shared.Others, "a node that doesn't choose groups itself rarely requests these")
+	require.Equal(t, 10, o.loads.SumOfZone(time.Now())["e1"].Requests, "only the nodes of the zone itself")
+	require.Empty(t, o.loads.SumOfOthers(time.Now().Add(time.Minute), ""), "old reports are left out")
+	require.Empty(t, o.loads.SumOfOtherZones(time.Now().Add(time.Minute)))
 
 	require.NoError(t, client.Suspect(ctx, address, "e1"))
 	require.Equal(t, []string{"e1"}, o.suspected)
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -14,49 +14,49 @@
 	"redwinghall/relay"
 )
 
-// longestWait bounds how long a caller may wait for changes.
-const longestWait = 5 * time.Second
+// maxChangesWait bounds how long a call of Changes may wait.
+const maxChangesWait = 5 * time.Second
 
-// ServerConfig are what answers the calls of other nodes.
+// ServerConfig holds what a Server needs to answer the calls of other nodes.
 type ServerConfig struct {
 	Mirror  func(table string) *relay.Mirror
 	Loads   *LoadTable
 	Suspect func(ctx context.Context, endpointID string)
-	// OnLoads is called when a node of this zone has told its loads, which are on the
-	// board by then.
+	// OnLoads is called after a node of this zone has reported its loads and they are
+	// stored in Loads.
 	OnLoads func(now time.Time, node string, settled uint64)
-	// Reserve chooses a group of this zone for another node's stream.
-	// ok is false if this node knows too little to choose.
+	// Reserve chooses a group of this zone for another node's stream. ok is false if this
+	// node lacks the information to choose.
 	Reserve func(now time.Time, request fleet.PlacementRequest) (placement fleet.Placement, ok bool)
-	// Limits are what this node knows of the endpoints' limits.
+	// Limits holds the limits of the endpoints that this node knows.
 	Limits *balance.Tracker
-	// Permit gives a permit for one request to an endpoint of a zone.
+	// Permit grants or denies one request to an endpoint of a zone.
 	Permit func(now time.Time, zone string, known balance.LimitWord) balance.Permit
-	// Commit carries out a transaction at the store itself.
+	// Commit commits a transaction directly at the store.
 	Commit func(ctx context.Context, txn fleet.Txn) (fleet.Position, error)
 }
 
-// Server answers other nodes.
+// Server implements the calls of other nodes.
 type Server struct {
-	parts ServerConfig
-	packs packer
+	config     ServerConfig
+	compressor rowCompressor
 }
 
 var _ rpc.Neighbor = (*Server)(nil)
 
-// NewHandler returns the handler of a node's internal address.
-func NewHandler(parts ServerConfig) http.Handler {
-	return rpc.NewNeighborServer(&Server{parts: parts, packs: packer{last: map[string]packedRows{}}})
+// NewHandler returns the HTTP handler for the internal address of a node.
+func NewHandler(config ServerConfig) http.Handler {
+	return rpc.NewNeighborServer(&Server{config: config, compressor: rowCompressor{last: map[string]compressedRows{}}})
 }
 
 // List implements rpc.Neighbor.
 func (s *Server) List(ctx context.Context, in *rpc.ListRequest) (*rpc.RowsResponse, error) {
-	answer, err := s.parts.Mirror(in.GetTable()).List(ctx)
+	answer, err := s.config.Mirror(in.GetTable()).List(ctx)
 	out, err := encodeAnswer(answer, err)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.packs.pack(in.GetTable(), out); err != nil {
+	if err := s.compressor.compress(in.GetTable(), out); err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	return out, nil
@@ -64,37 +64,37 @@
 
 // Changes implements rpc.Neighbor.
 func (s *Server) Changes(ctx context.Context, in *rpc.ChangesRequest) (*rpc.RowsResponse, error) {
-	wait := min(time.Duration(in.GetWaitMs())*time.Millisecond, longestWait)
-	answer, err := s.parts.Mirror(in.GetTable()).Changes(ctx, fleet.Position{Era: in.GetEra(), Version: in.GetAfter()}, wait)
+	wait := min(time.Duration(in.GetWaitMs())*time.Millisecond, maxChangesWait)
+	answer, err := s.config.Mirror(in.GetTable()).Changes(ctx, fleet.Position{Era: in.GetEra(), Version: in.GetAfter()}, wait)
 	return encodeAnswer(answer, err)
 }
 
 // Share implements rpc.Neighbor.
 func (s *Server) Share(_ context.Context, in *rpc.ShareRequest) (*rpc.ShareResponse, error) {
 	now := time.Now()
-	s.parts.Limits.LearnLimits(now, decodeLimits(in.GetLimits()))
+	s.config.Limits.LearnLimits(now, decodeLimits(in.GetLimits()))
 	if in.GetZone() {
-		s.parts.Loads.SetZone(now, in.GetNode(), decodeLoads(in.GetLoads()))
+		s.config.Loads.SetZone(now, in.GetNode(), decodeLoads(in.GetLoads()))
 		return &rpc.ShareResponse{}, nil
 	}
-	s.parts.Loads.SetNode(now, in.GetNode(), decodeLoads(in.GetLoads()))
-	s.parts.OnLoads(now, in.GetNode(), in.GetSettled())
-	out := &rpc.ShareResponse{Limits: encodeLimits(s.parts.Limits.ChangedLimits(now))}
+	s.config.Loads.SetNode(now, in.GetNode(), decodeLoads(in.GetLoads()))
+	s.config.OnLoads(now, in.GetNode(), in.GetSettled())
+	out := &rpc.ShareResponse{Limits: encodeLimits(s.config.Limits.ChangedLimits(now))}
 	if in.GetWithLimits() {
-		out.Limits = encodeLimits(s.parts.Limits.Limits(now))
+		out.Limits = encodeLimits(s.config.Limits.Limits(now))
 	}
 	if in.GetWithOthers() {
-		out.Loads = encodeLoads(s.parts.Loads.SumOfOthers(now, in.GetNode()))
+		out.Loads = encodeLoads(s.config.Loads.SumOfOthers(now, in.GetNode()))
 	}
 	if in.GetWithZones() {
-		out.Zones = encodeLoads(s.parts.Loads.SumOfOtherZones(now))
+		out.Zones = encodeLoads(s.config.Loads.SumOfOtherZones(now))
 	}
 	return out, nil
 }
 
 // Reserve implements rpc.Neighbor.
 func (s *Server) Reserve(_ context.Context, in *rpc.ReserveRequest) (*rpc.ReserveResponse, error) {
-	placement, ok := s.parts.Reserve(time.Now(), fleet.PlacementRequest{
+	placement, ok := s.config.Reserve(time.Now(), fleet.PlacementRequest{
 		Service: in.GetService(), Model: in.GetModel(), Prompt: int(in.GetPromptTokens()),
 		Objective: time.Duration(in.GetObjectiveMs()) * time.Millisecond, Tried: in.GetTried(), InBackoff: in.GetShunned(), Resumed: in.GetGoesOn(),
 		Node: in.GetNode(), Ticket: in.GetTicket(),
@@ -110,19 +110,19 @@
 
 // Permit implements rpc.Neighbor.
 func (s *Server) Permit(_ context.Context, in *rpc.PermitRequest) (*rpc.PermitResponse, error) {
-	permit := s.parts.Permit(time.Now(), in.GetZone(), decodeLimit(in.GetLimit()))
+	permit := s.config.Permit(time.Now(), in.GetZone(), decodeLimit(in.GetLimit()))
 	return &rpc.PermitResponse{Given: permit.Given, WaitUs: permit.Wait.Microseconds(), Limit: encodeLimit(permit.Limit)}, nil
 }
 
 // Suspect implements rpc.Neighbor.
 func (s *Server) Suspect(_ context.Context, in *rpc.SuspectRequest) (*rpc.SuspectResponse, error) {
-	s.parts.Suspect(context.Background(), in.GetEndpoint())
+	s.config.Suspect(context.Background(), in.GetEndpoint())
 	return &rpc.SuspectResponse{}, nil
 }
 
 // Commit implements rpc.Neighbor.
 func (s *Server) Commit(ctx context.Context, in *rpc.CommitRequest) (*rpc.CommitResponse, error) {
-	at, err := s.parts.Commit(ctx, decodeTxn(in))
+	at, err := s.config.Commit(ctx, decodeTxn(in))
 	switch redwinghall.KindOf[fleet.StoreKind](err) {
 	case "":
 		return &rpc.CommitResponse{Version: at.Version, Era: at.Era}, nil
