--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -83,16 +83,16 @@
 
 // Report is what an endpoint answers when it is asked directly.
 type Report struct {
-	Member   Membership
-	Models   []string
-	Staged   []string
-	Running  int
-	Waiting  int
-	Orders   int64 // that began something since the process started
-	Pace     float64
-	Busy     bool
-	Born     int64
-	Instance string
+	Member        Membership
+	Models        []string
+	Staged        []string
+	Running       int
+	Waiting       int
+	Orders        int64 // that began something since the process started
+	Pace          float64
+	Busy          bool
+	StartedMillis int64
+	Instance      string
 }
 
 // WithReport returns the endpoint as it describes itself in a report.
--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -462,7 +462,7 @@
 	if err != nil {
 		return fleet.Report{}, err
 	}
-	return fleet.Report{Member: w.Member, Models: w.Models, Staged: w.Staged, Pace: max(1, w.slow), Born: w.Born}, nil
+	return fleet.Report{Member: w.Member, Models: w.Models, Staged: w.Staged, Pace: max(1, w.slow), StartedMillis: w.Born}, nil
 }
 
 // Healthy implements fleet.Orderer.
