--- a/directory/era_test.go
+++ b/directory/era_test.go
@@ -51,11 +51,11 @@
 // comes back from before that. None of it comes undone until it is written again.
 func TestRestoredCopyUndoesNothingAtOnce(t *testing.T) {
 	leaving := endpoint("leaving")
-	leaving.Born, leaving.Sequence, leaving.State = 5, 9, fleet.EndpointDraining
+	leaving.StartedMillis, leaving.Sequence, leaving.State = 5, 9, fleet.EndpointDraining
 	ready := endpoint("leaving")
-	ready.Born, ready.Sequence = 5, 7
+	ready.StartedMillis, ready.Sequence = 5, 7
 	gone := endpoint("gone")
-	gone.Born, gone.Sequence = 5, 3
+	gone.StartedMillis, gone.Sequence = 5, 3
 	restored := func(changes ...directory.Change) []directory.Change {
 		for i := range changes {
 			changes[i].Restored = true
@@ -92,7 +92,7 @@
 
 	book = newBook()
 	reborn := *gone
-	reborn.Born = 6
+	reborn.StartedMillis = 6
 	book.Apply(back.Add(time.Second), restored(directory.Change{Endpoint: &reborn})...)
 	require.Contains(t, book.View().Endpoints, "gone", "it started again")
 }
--- a/directory/restored.go
+++ b/directory/restored.go
@@ -46,7 +46,7 @@
 // known is nil if the endpoint isn't.
 func (r *restored) keeps(now time.Time, known, entry *fleet.Endpoint) bool {
 	if known != nil {
-		older := entry.Born < known.Born || (entry.Born == known.Born && entry.Sequence < known.Sequence)
+		older := entry.StartedMillis < known.StartedMillis || (entry.StartedMillis == known.StartedMillis && entry.Sequence < known.Sequence)
 		if older {
 			klog.InfoS("restored_entry_older", "endpoint", entry.ID, "state", entry.State, "known", known.State,
 				"sequence", entry.Sequence, "known_sequence", known.Sequence)
@@ -54,7 +54,7 @@
 		return older
 	}
 	left, ok := r.gone[entry.ID]
-	if !ok || entry.Born > left.born {
+	if !ok || entry.StartedMillis > left.born {
 		return false
 	}
 	if _, held := r.held[entry.ID]; !held {
@@ -66,7 +66,7 @@
 
 // left notes that an endpoint is gone.
 func (r *restored) left(now time.Time, e *fleet.Endpoint) {
-	r.gone[e.ID] = leftEndpoint{born: e.Born, at: now}
+	r.gone[e.ID] = leftEndpoint{born: e.StartedMillis, at: now}
 }
 
 func (r *restored) forget(id string) {
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -46,8 +46,8 @@
 	// Cold is how much longer the endpoint stays cold, as of SeenAt.
 	Cold   time.Duration
 	SeenAt time.Time
-	// Born is when the process started, in Unix milliseconds; 0 if unknown.
-	Born int64
+	// StartedMillis is when the process started, in Unix milliseconds; 0 if unknown.
+	StartedMillis int64
 	// Sequence rises with each entry that one process writes.
 	Sequence int64
 	Domain   string   // fabric domain; empty for a plain service
--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -106,7 +106,7 @@
 
 func (f *farm) add(id, domain string) {
 	w := &farmWorker{Endpoint: fleet.Endpoint{
-		ID: id, Service: farmService, Address: id + ":80", Zone: "z", State: fleet.EndpointReady, Domain: domain, Born: 1,
+		ID: id, Service: farmService, Address: id + ":80", Zone: "z", State: fleet.EndpointReady, Domain: domain, StartedMillis: 1,
 	}}
 	f.workers[id] = w
 	time.AfterFunc(f.lag, func() {
@@ -274,11 +274,11 @@
 
 // carryOutLate lets a worker's process carry an order out 2 to 12 s later.
 func (f *farm) carryOutLate(w *farmWorker, o fleet.Order) {
-	late, born := 2*time.Second+time.Duration(f.random.Float64()*10*float64(time.Second)), w.Born
+	late, born := 2*time.Second+time.Duration(f.random.Float64()*10*float64(time.Second)), w.StartedMillis
 	time.AfterFunc(late, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if !w.dead && w.Born == born {
+		if !w.dead && w.StartedMillis == born {
 			f.carryOut(w, o)
 		}
 	})
@@ -357,7 +357,7 @@
 	for _, ready := range f.ready {
 		delete(ready, id)
 	}
-	w.Born++
+	w.StartedMillis++
 	w.Member, w.members, w.Models, w.last, w.opening = fleet.Membership{}, nil, nil, "", false
 	w.highest = 0
 }
@@ -411,11 +411,11 @@
 		return false
 	}
 	f.staged++
-	born := w.Born
+	born := w.StartedMillis
 	time.AfterFunc(model.Load, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if !w.dead && w.Born == born {
+		if !w.dead && w.StartedMillis == born {
 			w.Staged = []string{o.Model}
 			f.show(w)
 		}
@@ -462,7 +462,7 @@
 	if err != nil {
 		return fleet.Report{}, err
 	}
-	return fleet.Report{Member: w.Member, Models: w.Models, Staged: w.Staged, Pace: max(1, w.slow), StartedMillis: w.Born}, nil
+	return fleet.Report{Member: w.Member, Models: w.Models, Staged: w.Staged, Pace: max(1, w.slow), StartedMillis: w.StartedMillis}, nil
 }
 
 // Healthy implements fleet.Orderer.
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -201,7 +201,7 @@
 		for _, id := range ids {
 			old := f.workers[id]
 			old.dead, old.dark = false, false
-			old.Born, old.last, old.Member, old.members, old.Models = 2, "", fleet.Membership{}, nil, nil
+			old.StartedMillis, old.last, old.Member, old.members, old.Models = 2, "", fleet.Membership{}, nil, nil
 			f.show(old)
 		}
 		f.mu.Unlock()
--- a/formation/notes.go
+++ b/formation/notes.go
@@ -9,12 +9,12 @@
 // noted returns the worker of an endpoint, with what is remembered of it.
 func (m *Manager) noted(now time.Time, e *fleet.Endpoint) *Worker {
 	n, ok := m.notes[e.ID]
-	if !ok || n.born != e.Born {
+	if !ok || n.born != e.StartedMillis {
 		// A process that starts again under its id knows nothing of before.
-		if ok && e.Born > n.born {
+		if ok && e.StartedMillis > n.born {
 			m.noteWord(now, n.shown, fleet.Membership{})
 		}
-		n = &note{born: e.Born, worker: Worker{OrderedAt: map[fleet.OrderKind]time.Time{}}}
+		n = &note{born: e.StartedMillis, worker: Worker{OrderedAt: map[fleet.OrderKind]time.Time{}}}
 		m.notes[e.ID] = n
 	}
 	n.seenAt = now
