--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -89,7 +89,7 @@
 	Running       int
 	Waiting       int
 	Orders        int64 // that began something since the process started
-	Pace          float64
+	TimeFactor    float64
 	Busy          bool
 	StartedMillis int64
 	Instance      string
--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -462,7 +462,7 @@
 	if err != nil {
 		return fleet.Report{}, err
 	}
-	return fleet.Report{Member: w.Member, Models: w.Models, Staged: w.Staged, Pace: max(1, w.slow), StartedMillis: w.StartedMillis}, nil
+	return fleet.Report{Member: w.Member, Models: w.Models, Staged: w.Staged, TimeFactor: max(1, w.slow), StartedMillis: w.StartedMillis}, nil
 }
 
 // Healthy implements fleet.Orderer.
--- a/formation/probes.go
+++ b/formation/probes.go
@@ -42,7 +42,7 @@
 		defer m.mu.Unlock()
 		delete(m.probing, endpoint.ID)
 		if err == nil {
-			m.notePace(now, n, report.Pace)
+			m.notePace(now, n, report.TimeFactor)
 			return nil
 		}
 		klog.InfoS("member_silent", "endpoint", endpoint.ID, "group", n.worker.Member.Group, "err", err)
