--- a/balance/pass.go
+++ b/balance/pass.go
@@ -19,7 +19,7 @@
 // NewPace returns the pace of a group that serves a model, slowed by a factor
 // that was observed (1 is as declared).
 func NewPace(engine *fleet.Engine, model fleet.Model, observed float64) Pace {
-	factor := model.Pace
+	factor := model.TimeFactor
 	if factor <= 0 {
 		factor = 1
 	}
--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -107,12 +107,12 @@
 
 // Model is one model that groups of an engine service may serve.
 type Model struct {
-	Name  string
-	Size  int     // VMs of one group
-	Share float64 // of the work at the start
-	Pace  float64 // factor on all of a group's times
-	Load  time.Duration
-	Warm  time.Duration // load from the VM's own host memory
+	Name       string
+	Size       int     // VMs of one group
+	Share      float64 // of the work at the start
+	TimeFactor float64 // factor on all of a group's times
+	Load       time.Duration
+	Warm       time.Duration // load from the VM's own host memory
 }
 
 // Model returns the engine's model of a name.
--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -74,8 +74,8 @@
 	return &fleet.Engine{
 		Slots: 26, Stride: 6, LoadsPerSecond: 5.5, LoadsAtOnce: 8, Formation: 300 * time.Millisecond,
 		Models: []fleet.Model{
-			{Name: "large", Size: 6, Share: 0.67, Pace: 1, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-			{Name: "small", Size: 3, Share: 0.33, Pace: 0.6, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+			{Name: "large", Size: 6, Share: 0.67, TimeFactor: 1, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
+			{Name: "small", Size: 3, Share: 0.33, TimeFactor: 0.6, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
 		},
 	}
 }
--- a/standin/passes/passes.go
+++ b/standin/passes/passes.go
@@ -34,7 +34,7 @@
 
 // NewGroup returns an idle group.
 func NewGroup(engine *fleet.Engine, model fleet.Model) *Group {
-	return &Group{engine: engine, pace: model.Pace}
+	return &Group{engine: engine, pace: model.TimeFactor}
 }
 
 // Load returns how many requests run and wait.
