--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -93,16 +93,16 @@
 	// ReadPerSecond is the rate at which prompt tokens are read.
 	ReadPerSecond float64
 	// PerMillionPairs is the time for a million pairs of a token and an earlier one.
-	PerMillionPairs time.Duration
-	Chunk           int // prompt tokens read in one step, at most
-	Stride          int // steps of one pass, and tokens of one event
-	ReportLag       time.Duration
-	LoadsPerSecond  float64 // starts of loads from the weight store, all VMs together
-	LoadsAtOnce     int
-	Formation       time.Duration // from the order to open until a group serves
-	FarFactor       float64       // slow-down of a group across fabric domains
-	UsualPrompt     float64       // mean prompt, tokens
-	UsualAnswer     float64       // mean answer, tokens
+	PerMillionPairs   time.Duration
+	Chunk             int // prompt tokens read in one step, at most
+	Stride            int // steps of one pass, and tokens of one event
+	ReportLag         time.Duration
+	LoadsPerSecond    float64 // starts of loads from the weight store, all VMs together
+	LoadsAtOnce       int
+	Formation         time.Duration // from the order to open until a group serves
+	CrossDomainFactor float64       // slow-down of a group across fabric domains
+	UsualPrompt       float64       // mean prompt, tokens
+	UsualAnswer       float64       // mean answer, tokens
 }
 
 // Model is one model that groups of an engine service may serve.
