--- a/balance/pass.go
+++ b/balance/pass.go
@@ -35,7 +35,7 @@
 // writeTime returns the time of the token steps of one pass.
 func (p Pace) writeTime(running int) time.Duration {
 	e := p.engine
-	context := (e.UsualPrompt + e.UsualAnswer/2) / 1000
+	context := (e.MeanPromptTokens + e.UsualAnswer/2) / 1000
 	each := float64(e.PerSequence) + context*float64(e.PerThousandContext)
 	step := float64(e.Step) + float64(running)*each
 	return time.Duration(float64(e.Stride) * step * p.factor)
@@ -49,7 +49,7 @@
 	}
 	n := float64(tokens)
 	plain := n / e.ReadPerSecond * float64(time.Second)
-	pairs := min(n, 2*e.UsualPrompt) * n / 2 / 1e6 * float64(e.PerMillionPairs)
+	pairs := min(n, 2*e.MeanPromptTokens) * n / 2 / 1e6 * float64(e.PerMillionPairs)
 	return time.Duration((plain + pairs) * p.factor)
 }
 
--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -101,7 +101,7 @@
 	LoadsAtOnce       int
 	Formation         time.Duration // from the order to open until a group serves
 	CrossDomainFactor float64       // slow-down of a group across fabric domains
-	UsualPrompt       float64       // mean prompt, tokens
+	MeanPromptTokens  float64       // mean prompt, tokens
 	UsualAnswer       float64       // mean answer, tokens
 }
 
