--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -17,7 +17,7 @@
 func engine() *fleet.Engine {
 	return &fleet.Engine{
 		Slots: 26, Step: 6450 * time.Microsecond, PerSequence: 97 * time.Microsecond, PerThousandContext: 3 * time.Microsecond,
-		ReadPerSecond: 56100, PerMillionPairs: 309 * time.Microsecond, Chunk: 2048, Stride: 6, MeanPromptTokens: 1115, UsualAnswer: 152,
+		ReadPerSecond: 56100, PerMillionPairs: 309 * time.Microsecond, Chunk: 2048, Stride: 6, MeanPromptTokens: 1115, MeanAnswerTokens: 152,
 		Models: []fleet.Model{{Name: "large", Size: 6, Share: 0.67, TimeFactor: 1}, {Name: "small", Size: 3, Share: 0.33, TimeFactor: 0.6}},
 	}
 }
--- a/balance/pass.go
+++ b/balance/pass.go
@@ -35,7 +35,7 @@
 // writeTime returns the time of the token steps of one pass.
 func (p Pace) writeTime(running int) time.Duration {
 	e := p.engine
-	context := (e.MeanPromptTokens + e.UsualAnswer/2) / 1000
+	context := (e.MeanPromptTokens + e.MeanAnswerTokens/2) / 1000
 	each := float64(e.PerSequence) + context*float64(e.PerThousandContext)
 	step := float64(e.Step) + float64(running)*each
 	return time.Duration(float64(e.Stride) * step * p.factor)
@@ -55,7 +55,7 @@
 
 // residenceTime is how long a usual request stays with the group.
 func (p Pace) residenceTime(running int) time.Duration {
-	passes := p.engine.UsualAnswer/float64(p.engine.Stride) + 1
+	passes := p.engine.MeanAnswerTokens/float64(p.engine.Stride) + 1
 	return time.Duration(passes * float64(p.writeTime(running)))
 }
 
--- a/balance/places_test.go
+++ b/balance/places_test.go
@@ -20,7 +20,7 @@
 	tracker := balance.NewTracker()
 	engine := &fleet.Engine{
 		Slots: 20, Step: 7800 * time.Microsecond, PerSequence: 95 * time.Microsecond, ReadPerSecond: 45900, Chunk: 2048, Stride: 6,
-		MeanPromptTokens: 760, UsualAnswer: 170, Models: []fleet.Model{{Name: "small", Size: 2, Share: 1, TimeFactor: 0.6}},
+		MeanPromptTokens: 760, MeanAnswerTokens: 170, Models: []fleet.Model{{Name: "small", Size: 2, Share: 1, TimeFactor: 0.6}},
 	}
 	one := ask()
 	one.Service, one.Model, one.Prompt, one.Objective = fleet.Service{Name: "llm", Engine: engine}, engine.Models[0], 674, 300*time.Millisecond
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -45,7 +45,7 @@
 func zoneEngine() *fleet.Engine {
 	return &fleet.Engine{
 		Slots: 13, Step: 6450 * time.Microsecond, PerSequence: 97 * time.Microsecond, PerThousandContext: 3 * time.Microsecond,
-		ReadPerSecond: 56100, PerMillionPairs: 309 * time.Microsecond, Chunk: 2048, Stride: 10, MeanPromptTokens: 854, UsualAnswer: 192,
+		ReadPerSecond: 56100, PerMillionPairs: 309 * time.Microsecond, Chunk: 2048, Stride: 10, MeanPromptTokens: 854, MeanAnswerTokens: 192,
 		Models: []fleet.Model{{Name: "small", Size: 4, Share: 1, TimeFactor: 0.6}},
 	}
 }
--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -102,7 +102,7 @@
 	Formation         time.Duration // from the order to open until a group serves
 	CrossDomainFactor float64       // slow-down of a group across fabric domains
 	MeanPromptTokens  float64       // mean prompt, tokens
-	UsualAnswer       float64       // mean answer, tokens
+	MeanAnswerTokens  float64       // mean answer, tokens
 }
 
 // Model is one model that groups of an engine service may serve.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -59,7 +59,7 @@
 
 func engine() *fleet.Engine {
 	return &fleet.Engine{
-		Slots: 26, Step: 6 * time.Millisecond, ReadPerSecond: 56100, Chunk: 2048, Stride: 6, MeanPromptTokens: 1000, UsualAnswer: 100,
+		Slots: 26, Step: 6 * time.Millisecond, ReadPerSecond: 56100, Chunk: 2048, Stride: 6, MeanPromptTokens: 1000, MeanAnswerTokens: 100,
 		Models: []fleet.Model{{Name: "m0", Size: 1, Share: 1, TimeFactor: 1}},
 	}
 }
