--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -99,7 +99,7 @@
 	ReportLag         time.Duration
 	LoadsPerSecond    float64 // starts of loads from the weight store, all VMs together
 	LoadsAtOnce       int
-	Formation         time.Duration // from the order to open until a group serves
+	FormationTime     time.Duration // from the order to open until a group serves
 	CrossDomainFactor float64       // slow-down of a group across fabric domains
 	MeanPromptTokens  float64       // mean prompt, tokens
 	MeanAnswerTokens  float64       // mean answer, tokens
--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -72,7 +72,7 @@
 
 func farmEngine() *fleet.Engine {
 	return &fleet.Engine{
-		Slots: 26, Stride: 6, LoadsPerSecond: 5.5, LoadsAtOnce: 8, Formation: 300 * time.Millisecond,
+		Slots: 26, Stride: 6, LoadsPerSecond: 5.5, LoadsAtOnce: 8, FormationTime: 300 * time.Millisecond,
 		Models: []fleet.Model{
 			{Name: "large", Size: 6, Share: 0.67, TimeFactor: 1, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
 			{Name: "small", Size: 3, Share: 0.33, TimeFactor: 0.6, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
@@ -322,7 +322,7 @@
 	f.checkWhole(w)
 	w.opening = true
 	group := w.Member.Group
-	time.AfterFunc(f.engine.Formation, func() {
+	time.AfterFunc(f.engine.FormationTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if w.opening && w.Member.Group == group && !w.dead {
--- a/formation/gather_test.go
+++ b/formation/gather_test.go
@@ -17,7 +17,7 @@
 // as fill a domain.
 func pairsEngine() *fleet.Engine {
 	return &fleet.Engine{
-		Slots: 20, Stride: 6, LoadsPerSecond: 14, LoadsAtOnce: 20, Formation: 300 * time.Millisecond,
+		Slots: 20, Stride: 6, LoadsPerSecond: 14, LoadsAtOnce: 20, FormationTime: 300 * time.Millisecond,
 		Models: []fleet.Model{
 			{Name: "large", Size: 8, Share: 0.5, TimeFactor: 1, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
 			{Name: "small", Size: 2, Share: 0.5, TimeFactor: 0.6, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
