--- a/fleet/settings.go
+++ b/fleet/settings.go
@@ -14,11 +14,11 @@
 	Zones []string
 	// FirstStart is true only when the whole deployment starts for the first time.
 	FirstStart bool
-	// Callers is the address that callers reach, Readiness the one that the
+	// CallerAddress is the address that callers reach, Readiness the one that the
 	// balancer asks.
-	Callers   string
-	Readiness string
-	IP        string
+	CallerAddress string
+	Readiness     string
+	IP            string
 	// InternalFirst and InternalLast bound the ports free for use between nodes.
 	InternalFirst, InternalLast int
 	StoreAddress                string
@@ -57,7 +57,7 @@
 	}
 	need("node", s.Node)
 	need("zone", s.Zone)
-	need("callers", s.Callers)
+	need("callers", s.CallerAddress)
 	need("readiness", s.Readiness)
 	need("store_address", s.StoreAddress)
 	if s.InternalFirst <= 0 || s.InternalLast < s.InternalFirst || s.InternalLast > 65535 {
--- a/node/listen.go
+++ b/node/listen.go
@@ -34,7 +34,7 @@
 // listen opens the listeners, so that a taken port is an error at the start.
 func (n *Node) listen(g *kernel.Group) error {
 	callers := &http.Server{
-		Addr: n.settings.Callers, Handler: n.conns.guard(n.gateway, n.plannedStop),
+		Addr: n.settings.CallerAddress, Handler: n.conns.guard(n.gateway, n.plannedStop),
 		ReadHeaderTimeout: callerHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: n.conns.note, ConnContext: n.conns.context,
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -127,7 +127,7 @@
 		g.Stop()
 		return err
 	}
-	klog.InfoS("node_started", "node", n.settings.Node, "zone", n.settings.Zone, "callers", n.settings.Callers,
+	klog.InfoS("node_started", "node", n.settings.Node, "zone", n.settings.Zone, "callers", n.settings.CallerAddress,
 		"store", n.settings.StoreAddress, "first_start", n.settings.FirstStart)
 	n.table.Start(g)
 	n.follower.Start(g)
