--- a/fleet/settings.go
+++ b/fleet/settings.go
@@ -16,9 +16,9 @@
 	FirstStart bool
 	// CallerAddress is the address that callers reach, Readiness the one that the
 	// balancer asks.
-	CallerAddress string
-	Readiness     string
-	IP            string
+	CallerAddress    string
+	ReadinessAddress string
+	IP               string
 	// InternalFirst and InternalLast bound the ports free for use between nodes.
 	InternalFirst, InternalLast int
 	StoreAddress                string
@@ -58,7 +58,7 @@
 	need("node", s.Node)
 	need("zone", s.Zone)
 	need("callers", s.CallerAddress)
-	need("readiness", s.Readiness)
+	need("readiness", s.ReadinessAddress)
 	need("store_address", s.StoreAddress)
 	if s.InternalFirst <= 0 || s.InternalLast < s.InternalFirst || s.InternalLast > 65535 {
 		f = f.With("internal_ports", "want two ports in rising order, got %d,%d", s.InternalFirst, s.InternalLast)
--- a/node/listen.go
+++ b/node/listen.go
@@ -38,7 +38,7 @@
 		ReadHeaderTimeout: callerHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: n.conns.note, ConnContext: n.conns.context,
 	}
-	readiness := &http.Server{Addr: n.settings.Readiness, Handler: n.smallRoutes(), ReadHeaderTimeout: smallHeaderTimeout}
+	readiness := &http.Server{Addr: n.settings.ReadinessAddress, Handler: n.smallRoutes(), ReadHeaderTimeout: smallHeaderTimeout}
 	figures := &http.Server{
 		Addr:    net.JoinHostPort(n.settings.IP, strconv.Itoa(MetricsPort)),
 		Handler: n.smallRoutes(), ReadHeaderTimeout: smallHeaderTimeout,
