--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind says what may be repeated of a route's requests.
+// Kind is the kind of a route. It determines whether its requests may be retried.
 type Kind string
 
 // The kinds of route.
@@ -15,27 +15,27 @@
 	Streaming Kind = "streaming"
 )
 
-// Configuration is what operators decided, as of one version. It is immutable.
+// Configuration is one version of the operators' configuration. It is immutable.
 type Configuration struct {
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
-	// Accounts holds the client accounts; empty means that no key is asked for.
+	// Accounts holds the client accounts; if empty, no API key is required.
 	Accounts []Account
 	Limits   Limits
 }
 
-// Account is a client account with the API keys that are now its own.
+// Account is a client account with its current API keys.
 type Account struct {
 	Name string
 	Keys []string
-	// Priority ranks the account's requests, 0 first. HasPriority is false
-	// where the route's own rank counts.
+	// Priority is the priority of the account's requests, 0 being the highest. If
+	// HasPriority is false, the priority of the route applies.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -43,38 +43,37 @@
 	IdleTimeout   time.Duration
 }
 
-// Route leads the requests of one host and path prefix to services.
+// Route maps the requests of one host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest that a request may be kept waiting.
+	// Timeout is the longest time that a request may wait.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to a stream's first event,
-	// within which the caller is served well.
+	// Objective is the latency objective for the response, or for the first event of a stream.
 	Objective time.Duration
-	// PauseObjective is the longest pause between events that is still good.
+	// PauseObjective is the objective for the longest pause between events.
 	PauseObjective time.Duration
-	Priority       int // 0 is the most urgent
-	MaxAttempts    int // endpoints that one request may be sent to
+	Priority       int // 0 is the highest
+	MaxAttempts    int // number of endpoints that one request may be sent to
 	Public         bool
 	Resumable      bool
 	Split          []Share
 }
 
-// Share is one service's part of a route's requests.
+// Share is the share of a route's requests that one service receives.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Service is a set of endpoints that answer alike.
+// Service is a set of interchangeable endpoints.
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int // that one endpoint accepts from all nodes together
-	// ColdPerSecond is the rate that a cold endpoint bears; 0 means that
+	MaxConnections int // accepted by one endpoint from all nodes together
+	// ColdPerSecond is the request rate that a cold endpoint can take; 0 means that the
 	// endpoints of this service are never cold.
 	ColdPerSecond float64
 	// Engine is nil for a plain service.
@@ -83,39 +82,39 @@
 
 // Engine describes the model endpoints of a service.
 type Engine struct {
-	Slots  int // requests that a group works on at once
+	Slots  int // requests that a group processes concurrently
 	Models []Model
-	// Step is the time of one token step, PerSequence what each writing
-	// request adds, PerThousandContext what each 1,000 tokens of context add.
+	// Step is the time of one decoding step, PerSequence the time that each decoding
+	// request adds, PerThousandContext the time that each 1,000 tokens of context add.
 	Step               time.Duration
 	PerSequence        time.Duration
 	PerThousandContext time.Duration
-	// ReadPerSecond is the rate at which prompt tokens are read.
+	// ReadPerSecond is the rate at which prompt tokens are processed (prefill).
 	ReadPerSecond float64
-	// PerMillionPairs is the time for a million pairs of a token and an earlier one.
+	// PerMillionPairs is the attention time for a million pairs of a token and an earlier one.
 	PerMillionPairs   time.Duration
-	Chunk             int // prompt tokens read in one step, at most
-	Stride            int // steps of one pass, and tokens of one event
+	Chunk             int // largest number of prompt tokens processed in one step
+	Stride            int // steps of one pass, and tokens per event
 	ReportLag         time.Duration
-	LoadsPerSecond    float64 // starts of loads from the weight store, all VMs together
+	LoadsPerSecond    float64 // loads started per second from the weight store, all VMs together
 	LoadsAtOnce       int
-	FormationTime     time.Duration // from the order to open until a group serves
-	CrossDomainFactor float64       // slow-down of a group across fabric domains
-	MeanPromptTokens  float64       // mean prompt, tokens
-	MeanAnswerTokens  float64       // mean answer, tokens
+	FormationTime     time.Duration // from the order to open until the group serves requests
+	CrossDomainFactor float64       // factor on the times of a group that spans fabric domains
+	MeanPromptTokens  float64       // mean length of a prompt, tokens
+	MeanAnswerTokens  float64       // mean length of an answer, tokens
 }
 
 // Model is one model that groups of an engine service may serve.
 type Model struct {
 	Name       string
 	Size       int     // VMs of one group
-	Share      float64 // of the work at the start
-	TimeFactor float64 // factor on all of a group's times
+	Share      float64 // share of the work at startup
+	TimeFactor float64 // factor on all processing times of a group
 	Load       time.Duration
-	Warm       time.Duration // load from the VM's own host memory
+	Warm       time.Duration // time to load from the VM's host memory
 }
 
-// Model returns the engine's model of a name.
+// Model returns the engine's model with the given name.
 func (e *Engine) Model(name string) (Model, bool) {
 	for _, m := range e.Models {
 		if m.Name == name {
--- a/fleet/order.go
+++ b/fleet/order.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// OrderKind is what an endpoint is told to do.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 // The orders.
@@ -14,36 +14,36 @@
 	OrderStage OrderKind = "stage"
 )
 
-// Order tells an endpoint which group to belong to, or what to load.
+// Order instructs an endpoint to join, open, close or leave a group, or to stage a model.
 type Order struct {
 	Kind    OrderKind
 	Group   string
 	Epoch   int64
 	Model   string
 	Members []string // ids, the head first
-	// Cancel ends the work of a group that closes; else it is finished first.
+	// Cancel aborts the requests of a group that closes; otherwise they are finished first.
 	Cancel bool
 }
 
-// Outcome is how an endpoint took an order.
+// Outcome is an endpoint's response to an order.
 type Outcome string
 
 // The outcomes of an order.
 const (
-	// Begun orders were accepted and may take a while.
+	// Begun: the order was accepted and is in progress.
 	Begun Outcome = "begun"
-	// Done orders hold already.
+	// Done: the endpoint is already in the ordered state.
 	Done Outcome = "done"
-	// Refused orders were not carried out and will not be.
+	// Refused: the order was not carried out and will not be.
 	Refused Outcome = "refused"
-	// Unanswered orders may have been carried out, or may be seconds later.
+	// Unanswered: the order may have been carried out, or may still be seconds later.
 	Unanswered Outcome = "unanswered"
 )
 
-// Orderer gives orders to endpoints and asks what they are doing.
+// Orderer sends orders to endpoints and queries their state.
 type Orderer interface {
 	Order(ctx context.Context, endpoint *Endpoint, order Order) (Outcome, error)
 	Report(ctx context.Context, endpoint *Endpoint) (Report, error)
-	// Healthy asks an endpoint whether it considers itself fit and stays.
+	// Healthy queries the health check of an endpoint, which also fails if it is about to leave.
 	Healthy(ctx context.Context, endpoint *Endpoint, path string) (bool, error)
 }
--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// PlacementRequest is a stream for which a node wants a group of a zone.
+// PlacementRequest is a node's request for a group of a zone to serve a stream.
 type PlacementRequest struct {
 	Service   string
 	Model     string
 	Prompt    int // tokens
 	Objective time.Duration
-	// Tried holds the endpoints that have had the stream.
+	// Tried holds the endpoints that already tried to serve the stream.
 	Tried []string
-	// InBackoff holds the endpoints that the asking node leaves alone, as they
-	// didn't answer it.
+	// InBackoff holds the endpoints in backoff at the requesting node, because they didn't
+	// answer it.
 	InBackoff []string
-	// Resumed says that the stream was begun elsewhere and is worth finishing late.
+	// Resumed says that the stream was begun by another group and is worth finishing late.
 	Resumed bool
-	// Node is the asking node.
+	// Node is the requesting node.
 	Node string
-	// Ticket numbers what a node asks in its own zone; it is 0 in another zone.
+	// Ticket is the sequence number of a node's requests in its own zone; 0 in another zone.
 	Ticket uint64
 }
 
-// Placement is a zone's answer to a request.
+// Placement is a zone's response to a PlacementRequest.
 type Placement struct {
-	// Endpoint is the head of the chosen group, "" if none serves the stream in time.
+	// Endpoint is the head of the chosen group, or "" if none can serve the stream in time.
 	Endpoint  string
 	Predicted time.Duration // until the first event
-	// AlternativeZone is, where no group of the zone will do, another zone that may have
-	// room, "" if none has as far as known.
+	// AlternativeZone is, if no group of the zone can serve the stream, another zone that
+	// may have capacity, or "" if none is known.
 	AlternativeZone string
-	// Permitted says that the endpoint's limit allows for the stream.
+	// Permitted says that the endpoint's limit permits the stream.
 	Permitted bool
-	// LimitedFor is, where only limits keep the zone's groups from the stream, how long
-	// they do.
+	// LimitedFor is, if only rate limits prevent the zone's groups from serving the stream,
+	// the time until one permits it.
 	LimitedFor time.Duration
 }
--- a/fleet/position.go
+++ b/fleet/position.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Position says how far the store has been read. Versions alone don't: when the store comes
-// back from an older copy of itself, its era rises, and versions are given out again.
+// Position is a position in the history of the store. A version alone is ambiguous: when
+// the store is restored from an older copy, its era increases and versions are reused.
 type Position struct {
 	Era     int64
 	Version int64
@@ -23,5 +23,5 @@
 	return p
 }
 
-// IsZero reports whether nothing was read.
+// IsZero reports whether the position is unset, because nothing was read.
 func (p Position) IsZero() bool { return p == Position{} }
--- a/fleet/rate_limit.go
+++ b/fleet/rate_limit.go
@@ -1,9 +1,9 @@
 package fleet
 
-// RateLimit is what an endpoint in need takes from all nodes together.
+// RateLimit is the request rate that an overloaded endpoint accepts from all nodes together.
 type RateLimit struct {
-	// Named is false where an endpoint names no limit.
+	// Named is false if the endpoint sets no limit.
 	Named bool
-	// PerSecond is how many requests a second it takes.
+	// PerSecond is the limit in requests per second.
 	PerSecond float64
 }
--- a/fleet/settings.go
+++ b/fleet/settings.go
@@ -7,47 +7,47 @@
 	"redwinghall"
 )
 
-// Settings are what a node learns when it starts.
+// Settings are the settings that a node receives at startup.
 type Settings struct {
 	Node  string
 	Zone  string
 	Zones []string
 	// FirstStart is true only when the whole deployment starts for the first time.
 	FirstStart bool
-	// CallerAddress is the address that callers reach, Readiness the one that the
-	// balancer asks.
+	// CallerAddress is the listen address for requests of callers, ReadinessAddress the one
+	// for the readiness checks of the load balancer.
 	CallerAddress    string
 	ReadinessAddress string
 	IP               string
-	// InternalFirst and InternalLast bound the ports free for use between nodes.
+	// InternalFirst and InternalLast are the range of ports for calls between nodes.
 	InternalFirst, InternalLast int
 	StoreAddress                string
 	StoreReadsPerSecond         float64
 	Processor                   float64 // cores of the VM that this node may use
 	MemoryBytes                 int64
 	FileDescriptors             int
-	Heartbeat                   time.Duration // of an endpoint's entry
+	Heartbeat                   time.Duration // interval at which an endpoint rewrites its entry
 	Bounds                      Bounds
 }
 
 // Bounds are the operators' limits on how the whole deployment behaves.
 type Bounds struct {
-	Contact        time.Duration // until a machine counts as in touch again
-	Drain          time.Duration // until a leaving endpoint gets nothing more
+	Contact        time.Duration // until a machine that was cut off is reachable again
+	Drain          time.Duration // until a leaving endpoint gets no more requests
 	Grace          time.Duration // from SIGTERM to SIGKILL
-	Configuration  time.Duration // until a configuration is in force everywhere
-	Evacuation     time.Duration // until a zone taken out gets nothing more
-	Stall          time.Duration // until a group that lost a member breaks
-	RetryRatio     float64       // retries for each request, over RetryWindow
+	Configuration  time.Duration // until a configuration is in force on all nodes
+	Evacuation     time.Duration // until an evacuated zone gets no more requests
+	Stall          time.Duration // until a group that lost a member counts as broken
+	RetryRatio     float64       // retries per request, over RetryWindow
 	RetryWindow    time.Duration
 	RetrySlack     float64 // retries beyond the ratio, all nodes together
-	ColdOvershoot  float64 // factor on the rate of a cold endpoint
-	ColdSlack      float64 // requests beyond it in one second
+	ColdOvershoot  float64 // allowed factor on the rate of a cold endpoint
+	ColdSlack      float64 // requests allowed beyond that rate in one second
 	LoadsWindow    time.Duration
 	LoadsOvershoot float64
 }
 
-// Validate returns everything wrong with the settings.
+// Validate returns all errors in the settings.
 func (s Settings) Validate() redwinghall.Faults {
 	var f redwinghall.Faults
 	need := func(path, value string) {
@@ -61,7 +61,7 @@
 	need("readiness", s.ReadinessAddress)
 	need("store_address", s.StoreAddress)
 	if s.InternalFirst <= 0 || s.InternalLast < s.InternalFirst || s.InternalLast > 65535 {
-		f = f.With("internal_ports", "want two ports in rising order, got %d,%d", s.InternalFirst, s.InternalLast)
+		f = f.With("internal_ports", "want two ports in ascending order, got %d,%d", s.InternalFirst, s.InternalLast)
 	}
 	return append(f, s.Bounds.validate()...)
 }
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -7,65 +7,65 @@
 	"redwinghall"
 )
 
-// Row is one record of the store. Version rises over all rows with each
-// transaction of an era.
+// Row is one row of the store. Version increases with each transaction of an era, across
+// all rows.
 type Row struct {
 	Table   string
 	Part    string
 	Key     string
 	Value   []byte
 	Version int64
-	Removed bool // only in changes: the row is gone
+	Removed bool // only in changes: the row was removed
 }
 
-// Rows is an answer of the store: rows, and the newest position that it covers.
+// Rows is a response of the store: rows, and the newest position that they cover.
 type Rows struct {
 	Rows []Row
 	At   Position
-	// More says of changes that the store knew newer ones than the answer holds.
+	// More says that the store has newer changes than the response contains.
 	More bool
-	// Relayed says that another node read them: the store was not called.
+	// Relayed says that the rows came from another node and the store was not called.
 	Relayed bool
 }
 
-// Expect is a condition of a transaction: the version that a row must have,
-// 0 for a row that must not exist.
+// Expect is a precondition of a transaction: the version that a row must have, or 0 if the
+// row must not exist.
 type Expect struct {
 	Table, Part, Key string
 	Version          int64
 }
 
-// Txn is a set of conditions, writes and deletes that hold together or not at all.
+// Txn is a transaction: preconditions, writes and deletes that are applied atomically.
 type Txn struct {
 	Expects []Expect
 	Writes  []Row
 	Deletes []Row
 }
 
-// Store is the users' metadata store.
+// Store is the metadata store of the deployment's users.
 type Store interface {
-	// List returns the rows of a table without a part, as of one moment a page.
+	// List returns the rows of a table whose Part is empty. Each page is a consistent snapshot.
 	List(ctx context.Context, table string) (Rows, error)
 	// Changes waits for changes after a position and returns them in order.
 	Changes(ctx context.Context, table string, after Position, wait time.Duration) (Rows, error)
-	// Commit carries out a transaction and returns its position.
+	// Commit applies a transaction and returns its position.
 	Commit(ctx context.Context, txn Txn) (Position, error)
 }
 
-// StoreKind says what a failed call to the store means.
+// StoreKind classifies the errors of calls to the store.
 type StoreKind string
 
 // The kinds of store error.
 const (
-	// StoreUnavailable: nothing was done.
+	// StoreUnavailable: the call failed and had no effect.
 	StoreUnavailable StoreKind = "store_unavailable"
-	// StoreUnreachable: the node that was asked doesn't reach the store itself.
+	// StoreUnreachable: the node that was called can't reach the store itself.
 	StoreUnreachable StoreKind = "store_away"
-	// StoreOutcomeUnknown: the call may have been carried out, or may yet be.
+	// StoreOutcomeUnknown: the transaction may have been applied, or may still be.
 	StoreOutcomeUnknown StoreKind = "store_unknown"
-	// StoreConflict: a condition of the transaction did not hold.
+	// StoreConflict: a precondition of the transaction was not met.
 	StoreConflict StoreKind = "store_conflict"
-	// StoreHistoryGone: the changes asked for are no longer known; list again.
+	// StoreHistoryGone: the requested changes are no longer available; list the table again.
 	StoreHistoryGone StoreKind = "store_history_gone"
 )
 
