--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Kind is the kind of a route. It determines whether its requests may be retried.
-type Kind string
+// RouteKind is the kind of a route. It determines whether its requests may be retried.
+type RouteKind string
 
 // The kinds of route.
 const (
 	// Safe requests may run more than once.
-	Safe Kind = "safe"
+	Safe RouteKind = "safe"
 	// Unsafe requests run at most once.
-	Unsafe Kind = "unsafe"
+	Unsafe RouteKind = "unsafe"
 	// Streaming requests are answered by a series of events.
-	Streaming Kind = "streaming"
+	Streaming RouteKind = "streaming"
 )
 
 // Configuration is one version of the operators' configuration. It is immutable.
@@ -48,7 +48,7 @@
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
-	Kind   Kind
+	Kind   RouteKind
 	// Timeout is the longest time that a request may wait.
 	Timeout time.Duration
 	// Objective is the latency objective for the response, or for the first event of a stream.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -65,7 +65,7 @@
 }
 
 func configuration() *fleet.Configuration {
-	route := func(name, prefix, service string, kind fleet.Kind, attempts int) fleet.Route {
+	route := func(name, prefix, service string, kind fleet.RouteKind, attempts int) fleet.Route {
 		return fleet.Route{
 			Name: name, Host: "a.example", Prefix: prefix, Kind: kind, Timeout: 3 * time.Second, Objective: 400 * time.Millisecond,
 			MaxAttempts: attempts, Resumable: kind == fleet.Streaming, Split: []fleet.Share{{Service: service, Weight: 1}},
