--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RouteKind is the kind of a route. It determines whether its requests may be retried.
+// RouteKind is the kind of a route, which determines whether its requests may be retried.
 type RouteKind string
 
 // The kinds of route.
