--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,10 @@
 MODULES := . cmd/controller cmd/node cmd/router cmd/rwhctl cmd/soak cmd/standin measure
 LINT_VERSION := v2.15.0
+GOPLS_VERSION := v0.23.0
 BIN := $(CURDIR)/bin
 
 # Every target works from a fresh clone with Go, make and a module proxy.
-.PHONY: explore build bench measure demo soak test lint fmt codes examples generate tidy
+.PHONY: explore build bench measure demo soak test lint gopls fmt codes examples generate tidy
 
 build:
 	@mkdir -p $(BIN)
@@ -51,6 +52,14 @@
 lint: $(BIN)/golangci-lint-$(LINT_VERSION)
 	@for m in $(MODULES); do (cd $$m && $< run --config $(CURDIR)/.golangci.yml ./...) || bad=1; done; [ -z "$$bad" ]
 
+# The language server renames through all modules:
+#   bin/gopls-VERSION rename -w FILE:LINE:COLUMN New
+gopls: $(BIN)/gopls-$(GOPLS_VERSION)
+$(BIN)/gopls-$(GOPLS_VERSION):
+	@mkdir -p $(BIN)
+	GOWORK=off GOBIN=$(BIN) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(BIN)/gopls $@
+
 fmt:
 	gofmt -w $$(git ls-files '*.go')
 
