--- a/node/listen.go
+++ b/node/listen.go
@@ -34,11 +34,11 @@
 // listen opens the listeners, so that a taken port is an error at the start.
 func (n *Node) listen(g *kernel.Group) error {
 	callers := &http.Server{
-		Addr: n.settings.Callers, Handler: n.conns.guard(n.gateway, n.plannedStop),
+		Addr: n.settings.CallerAddress, Handler: n.conns.guard(n.gateway, n.plannedStop),
 		ReadHeaderTimeout: callerHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: n.conns.note, ConnContext: n.conns.context,
 	}
-	readiness := &http.Server{Addr: n.settings.Readiness, Handler: n.smallRoutes(), ReadHeaderTimeout: smallHeaderTimeout}
+	readiness := &http.Server{Addr: n.settings.ReadinessAddress, Handler: n.smallRoutes(), ReadHeaderTimeout: smallHeaderTimeout}
 	figures := &http.Server{
 		Addr:    net.JoinHostPort(n.settings.IP, strconv.Itoa(MetricsPort)),
 		Handler: n.smallRoutes(), ReadHeaderTimeout: smallHeaderTimeout,
