--- a/balance/pace.go
+++ b/balance/pace.go
@@ -20,7 +20,7 @@
 // NewPace returns the pace of a group that serves a model. observed is the
 // measured slowdown; 1 means as fast as declared.
 func NewPace(engine *fleet.Engine, model fleet.Model, observed float64) Pace {
-	factor := model.Pace
+	factor := model.TimeFactor
 	if factor <= 0 {
 		factor = 1
 	}
@@ -36,7 +36,7 @@
 // writeTime returns the duration of the token steps of one pass.
 func (p Pace) writeTime(running int) time.Duration {
 	e := p.engine
-	context := (e.UsualPrompt + e.UsualAnswer/2) / 1000
+	context := (e.MeanPromptTokens + e.MeanAnswerTokens/2) / 1000
 	each := float64(e.PerSequence) + context*float64(e.PerThousandContext)
 	step := float64(e.Step) + float64(running)*each
 	return time.Duration(float64(e.Stride) * step * p.factor)
@@ -50,13 +50,13 @@
 	}
 	n := float64(tokens)
 	plain := n / e.ReadPerSecond * float64(time.Second)
-	pairs := min(n, 2*e.UsualPrompt) * n / 2 / 1e6 * float64(e.PerMillionPairs)
+	pairs := min(n, 2*e.MeanPromptTokens) * n / 2 / 1e6 * float64(e.PerMillionPairs)
 	return time.Duration((plain + pairs) * p.factor)
 }
 
 // residenceTime is how long a request of usual length occupies a slot.
 func (p Pace) residenceTime(running int) time.Duration {
-	passes := p.engine.UsualAnswer/float64(p.engine.Stride) + 1
+	passes := p.engine.MeanAnswerTokens/float64(p.engine.Stride) + 1
 	return time.Duration(passes * float64(p.writeTime(running)))
 }
 
--- /dev/null
+++ b/neighbor/compress.go
@@ -0,0 +1,90 @@
+package neighbor
+
+import (
+	"bytes"
+	"compress/flate"
+	"io"
+	"sync"
+
+	"google.golang.org/protobuf/proto"
+
+	"redwinghall/neighbor/rpc"
+)
+
+// compressMinRows is the number of rows from which a response is compressed.
+const compressMinRows = 50
+
+// rowCompressor compresses responses and caches the last result for each table.
+//
+// When all nodes start at once, the reader of a zone sends each of them the full table of
+// endpoints, and the bandwidth of its network link limits how fast they start.
+type rowCompressor struct {
+	mu   sync.Mutex
+	last map[string]compressedRows // by table
+}
+
+type compressedRows struct {
+	version int64
+	bytes   []byte
+}
+
+// compress replaces the rows of a response by their compressed form, if there are at least
+// compressMinRows.
+func (c *rowCompressor) compress(table string, answer *rpc.RowsResponse) error {
+	if len(answer.GetRows()) < compressMinRows {
+		return nil
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	last, ok := c.last[table]
+	if !ok || last.version != answer.GetVersion() {
+		packed, err := deflateRows(answer.GetRows())
+		if err != nil {
+			return err
+		}
+		last = compressedRows{version: answer.GetVersion(), bytes: packed}
+		c.last[table] = last
+	}
+	answer.Rows, answer.Packed = nil, last.bytes
+	return nil
+}
+
+func deflateRows(rows []*rpc.Row) ([]byte, error) {
+	plain, err := proto.Marshal(&rpc.RowsResponse{Rows: rows})
+	if err != nil {
+		return nil, err
+	}
+	var out bytes.Buffer
+	w, err := flate.NewWriter(&out, flate.BestSpeed)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := w.Write(plain); err != nil {
+		return nil, err
+	}
+	if err := w.Close(); err != nil {
+		return nil, err
+	}
+	return out.Bytes(), nil
+}
+
+// maxDecompressedBytes limits the size of decompressed rows, since a few compressed bytes
+// can expand to very many.
+const maxDecompressedBytes = 64 << 20
+
+// decompress replaces the compressed rows of a response by the rows.
+func decompress(answer *rpc.RowsResponse) error {
+	if len(answer.GetPacked()) == 0 {
+		return nil
+	}
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(answer.GetPacked())), maxDecompressedBytes))
+	if err != nil {
+		return err
+	}
+	var rows rpc.RowsResponse
+	if err := proto.Unmarshal(plain, &rows); err != nil {
+		return err
+	}
+	answer.Rows, answer.Packed = rows.GetRows(), nil
+	return nil
+}
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -30,7 +30,7 @@
 	if len(peers) <= fewNodes {
 		return relay.Peer{}, false
 	}
-	return n.avoided.First(now, peers)
+	return n.avoided.FirstAvailable(now, peers)
 }
 
 // dispatches reports whether this node chooses groups for all nodes of its zone.
@@ -42,7 +42,7 @@
 // undispatched notes that a dispatcher gave no answer.
 func (n *Node) undispatched(now time.Time, zone string, peer relay.Peer, err error) {
 	klog.InfoS("dispatcher_silent", "zone", zone, "node", peer.Name, "err", err)
-	n.avoided.Failed(now, peer.Name)
+	n.avoided.RecordFailure(now, peer.Name)
 }
 
 // told takes in that a node of the zone has told its loads.
@@ -55,12 +55,12 @@
 
 // gathers reports whether the nodes of this zone tell this one their loads.
 func (n *Node) gathers(now time.Time) bool {
-	first, ok := n.avoided.First(now, n.peers())
+	first, ok := n.avoided.FirstAvailable(now, n.peers())
 	return ok && first.Name == n.settings.Node
 }
 
 // takeBoard takes in what the board shows of others' loads.
 func (n *Node) takeBoard(now time.Time) {
-	n.tracker.SetOwnZoneLoads(now, n.board.Others(now, n.settings.Node))
-	n.tracker.SetOtherZoneLoads(now, n.board.Zones(now))
+	n.tracker.SetOwnZoneLoads(now, n.board.SumOfOthers(now, n.settings.Node))
+	n.tracker.SetOtherZoneLoads(now, n.board.SumOfOtherZones(now))
 }
