--- a/balance/failure_reports.go
+++ b/balance/failure_reports.go
@@ -39,8 +39,8 @@
 	s.backOff(now)
 }
 
-// BackedOff returns the ids of those endpoints that are in backoff at this node.
-func (t *Tracker) BackedOff(now time.Time, endpoints []*fleet.Endpoint) []string {
+// InBackoff returns the ids of those endpoints that are in backoff at this node.
+func (t *Tracker) InBackoff(now time.Time, endpoints []*fleet.Endpoint) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var backedOff []string
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -74,7 +74,7 @@
 func TestFailureReportsOfTwoNodesCount(t *testing.T) {
 	heads := []*fleet.Endpoint{head("one", "a", "large")}
 	tracker := balance.NewTracker()
-	shunned := func(at time.Time) bool { return len(tracker.BackedOff(at, heads)) == 1 }
+	shunned := func(at time.Time) bool { return len(tracker.InBackoff(at, heads)) == 1 }
 	tracker.RecordFailureReport(start, "one", "n2")
 	tracker.RecordFailureReport(start.Add(10*time.Millisecond), "one", "n2")
 	require.False(t, shunned(start.Add(20*time.Millisecond)))
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -44,7 +44,7 @@
 	ticket := tickets.Open()
 	defer tickets.Close(ticket)
 	request := c.placement(ask)
-	request.Ticket, request.InBackoff = ticket, c.g.Tracker.BackedOff(time.Now(), heads)
+	request.Ticket, request.InBackoff = ticket, c.g.Tracker.InBackoff(time.Now(), heads)
 	placement, ok := c.g.Placer.Place(ctx, ask.Zone, request)
 	switch {
 	case !ok:
