--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -184,7 +184,7 @@
 type Snapshot struct {
 	Own, Running, Unread int
 	Slowdown             float64
-	BackedOff            bool
+	InBackoff            bool
 }
 
 // Snapshot returns the state of an endpoint.
@@ -192,7 +192,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.state(e.ID, now)
-	return Snapshot{Own: s.own, Running: s.running(now), Unread: s.unread, Slowdown: s.slowdown, BackedOff: now.Before(s.backoffUntil)}
+	return Snapshot{Own: s.own, Running: s.running(now), Unread: s.unread, Slowdown: s.slowdown, InBackoff: now.Before(s.backoffUntil)}
 }
 
 // slowFactor is the observed slowdown of a group above which its members should be
