--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -60,12 +60,12 @@
 	}, nil
 }
 
-// OtherZoneWithRoom returns another zone that, as far as this node knows, may serve
+// AlternativeZone returns another zone that, as far as this node knows, may serve
 // a stream in time, "" if there is none.
 //
 // It saves traffic between zones: when all zones are full, each stream would
 // otherwise ask every one of them before it is refused.
-func (t *Tracker) OtherZoneWithRoom(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, request Request) string {
+func (t *Tracker) AlternativeZone(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, request Request) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	request.bias = t.bias
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -172,7 +172,7 @@
 	tracker.SetOtherZoneLoads(start, map[string]balance.Load{"b": {Requests: 1}})
 	named := map[string]int{}
 	for range 100 {
-		named[tracker.OtherZoneWithRoom(start, heads, nil, newRequest())]++
+		named[tracker.AlternativeZone(start, heads, nil, newRequest())]++
 	}
 	require.Zero(t, named["a"])
 	require.Positive(t, named["b"])
--- a/node/placement.go
+++ b/node/placement.go
@@ -109,7 +109,7 @@
 		placement.LimitedFor = none.RetryAfter
 	}
 	if request.Ticket > 0 { // else of another zone, which asks the others itself
-		placement.AlternativeZone = n.tracker.OtherZoneWithRoom(now, heads, view.ZonesOut, ask)
+		placement.AlternativeZone = n.tracker.AlternativeZone(now, heads, view.ZonesOut, ask)
 	}
 	return placement, true
 }
