--- a/balance/limit.go
+++ b/balance/limit.go
@@ -201,9 +201,9 @@
 	Limit LimitReport
 }
 
-// GrantPermit grants a permit for one request to an endpoint from this node's share
+// IssuePermit grants a permit for one request to an endpoint from this node's share
 // of the limit. known is the limit as the requesting node knows it.
-func (t *Tracker) GrantPermit(now time.Time, known LimitReport, share float64) Permit {
+func (t *Tracker) IssuePermit(now time.Time, known LimitReport, share float64) Permit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mergeLimit(now, known)
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -111,7 +111,7 @@
 		if p.granters != nil {
 			rank = p.granters(node, at)
 		}
-		permit := p.trackers[rank].GrantPermit(now, t.Limit(now, "needy"), balance.PermitShare(rank))
+		permit := p.trackers[rank].IssuePermit(now, t.Limit(now, "needy"), balance.PermitShare(rank))
 		if !permit.Given {
 			t.RecordPermitDenied(now, "needy", permit.Wait)
 			choice.Attempt.Cancel()
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -58,7 +58,7 @@
 	known := g.Tracker.Limit(time.Now(), id)
 	permit, ok := balance.Permit{}, true
 	if g.Lender == nil {
-		permit = g.Tracker.GrantPermit(time.Now(), known, wholeLimit)
+		permit = g.Tracker.IssuePermit(time.Now(), known, wholeLimit)
 	} else {
 		permit, ok = g.Lender.Permit(ctx, choice.Endpoint, known)
 	}
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -44,7 +44,7 @@
 		},
 		Limits: o.limits,
 		Permit: func(now time.Time, zone string, known balance.LimitReport) balance.Permit {
-			return o.limits.GrantPermit(now, known, balance.PermitShare(len(zone)))
+			return o.limits.IssuePermit(now, known, balance.PermitShare(len(zone)))
 		},
 		Commit: func(_ context.Context, txn fleet.Txn) (fleet.Position, error) {
 			o.commits = append(o.commits, txn)
--- a/node/permit.go
+++ b/node/permit.go
@@ -49,7 +49,7 @@
 		klog.InfoS("not_lent", "endpoint", known.Endpoint, "zone", zone)
 		return balance.Permit{Limit: known}
 	}
-	return n.tracker.GrantPermit(now, known, share)
+	return n.tracker.IssuePermit(now, known, share)
 }
 
 // lenders returns the nodes that may lend for a zone's endpoints, the first one first: the
