--- a/balance/choose.go
+++ b/balance/choose.go
@@ -54,7 +54,7 @@
 	Resumed bool
 	// Connections limits this node's requests at one endpoint; 0 means no limit.
 	Connections int
-	// PermitShare is the part of an endpoint's rate limit that this node grants as
+	// PermitShare is the part of an endpoint's rate limit that this node issues as
 	// permits, 0 if it doesn't choose for other nodes.
 	PermitShare float64
 	// LimitedFor is how long the rate limits of its endpoints keep the caller's zone
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -12,8 +12,8 @@
 	// minPermitRate is the lowest rate, per second, at which an endpoint is tried,
 	// even if its limit is lower: only an answer can show that the limit has ended.
 	minPermitRate = 0.1
-	// firstPermitShare is the part of a limit that the node of the first rank grants,
-	// and the part of the remainder that each following rank grants.
+	// firstPermitShare is the part of a limit that the node of the first rank issues,
+	// and the part of the remainder that each following rank issues.
 	firstPermitShare = 0.8
 	// limitShareTime is how long a report of a limit is shared with others: several
 	// of the intervals at which nodes and zones share their loads.
@@ -41,19 +41,19 @@
 	namedAt    time.Time // when the endpoint reported it; zero if it never named a limit
 	receivedAt time.Time // when this node itself last got it from the endpoint
 	changedAt  time.Time
-	// permits holds the permits that this node may grant.
+	// permits holds the permits that this node may issue.
 	permits bucket
 	// refusedUntil is until when this node skips the endpoint because it got no
 	// permit.
 	refusedUntil time.Time
 }
 
-// PermitShare returns the part of an endpoint's limit that a node grants, by its
-// rank among the nodes that may grant permits; 0 is the first.
+// PermitShare returns the part of an endpoint's limit that a node issues, by its
+// rank among the nodes that may issue permits; 0 is the first.
 //
-// Nodes that don't see each other may disagree on which of them grants. The shares
+// Nodes that don't see each other may disagree on which of them issues. The shares
 // of all ranks add up to at most one, so the endpoint gets no more than its limit
-// whichever nodes grant.
+// whichever nodes issue.
 func PermitShare(rank int) float64 {
 	share := firstPermitShare
 	for range rank {
@@ -77,23 +77,23 @@
 	return changed
 }
 
-// grant takes one permit, or returns how long there will be none.
-func (l *limitState) grant(now time.Time, share float64) (ok bool, wait time.Duration) {
+// issue takes one permit, or returns how long there will be none.
+func (l *limitState) issue(now time.Time, share float64) (ok bool, wait time.Duration) {
 	if !l.limit.Named {
 		return true, 0
 	}
-	rate := l.grantRate(share)
+	rate := l.issueRate(share)
 	if l.permits.take(now, rate, permitBurst) {
 		return true, 0
 	}
 	return false, l.untilPermit(now, rate)
 }
 
-func (l *limitState) grantRate(share float64) float64 {
+func (l *limitState) issueRate(share float64) float64 {
 	return share * max(l.limit.PerSecond, minPermitRate)
 }
 
-// untilPermit returns how long it takes until a permit can be granted.
+// untilPermit returns how long it takes until a permit can be issued.
 func (l *limitState) untilPermit(now time.Time, rate float64) time.Duration {
 	if l.permits.has(now, rate, permitBurst) {
 		return 0
@@ -197,18 +197,18 @@
 	Given bool
 	// Wait is the time until the next permit if none was given.
 	Wait time.Duration
-	// Limit is the limit as the granting node knows it.
+	// Limit is the limit as the issuing node knows it.
 	Limit LimitReport
 }
 
-// IssuePermit grants a permit for one request to an endpoint from this node's share
+// IssuePermit issues a permit for one request to an endpoint from this node's share
 // of the limit. known is the limit as the requesting node knows it.
 func (t *Tracker) IssuePermit(now time.Time, known LimitReport, share float64) Permit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mergeLimit(now, known)
 	l := &t.state(known.Endpoint, now).limit
-	given, wait := l.grant(now, share)
+	given, wait := l.issue(now, share)
 	return Permit{Given: given, Wait: wait, Limit: l.report(now, known.Endpoint)}
 }
 
@@ -228,7 +228,7 @@
 	case !l.limit.Named:
 		return 0
 	case r.PermitShare > 0:
-		return l.untilPermit(now, l.grantRate(r.PermitShare))
+		return l.untilPermit(now, l.issueRate(r.PermitShare))
 	}
 	return max(0, l.refusedUntil.Sub(now))
 }
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -26,9 +26,9 @@
 	nodes     int
 	perSecond float64 // the limit
 	load      float64 // requests a second, of all nodes
-	// granters returns the rank of the node that a node asks for permits at a time;
+	// issuers returns the rank of the node that a node asks for permits at a time;
 	// nil means the first.
-	granters func(node int, at time.Duration) int
+	issuers func(node int, at time.Duration) int
 	// restartAt is when the first node restarts and loads the limits from the second
 	// one, 0 for never.
 	restartAt time.Duration
@@ -98,7 +98,7 @@
 }
 
 // request sends a request from a node to the endpoint with the limit. It returns nil
-// if no permit is granted.
+// if no permit is issued.
 func (p *limitSimulation) request(node int, at time.Duration) *balance.Attempt {
 	now := start.Add(at)
 	t := p.trackers[node]
@@ -108,8 +108,8 @@
 	}
 	if !choice.Permitted {
 		rank := 0
-		if p.granters != nil {
-			rank = p.granters(node, at)
+		if p.issuers != nil {
+			rank = p.issuers(node, at)
 		}
 		permit := p.trackers[rank].IssuePermit(now, t.Limit(now, "needy"), balance.PermitShare(rank))
 		if !permit.Given {
@@ -144,7 +144,7 @@
 	for _, nodes := range []int{3, 8, 74, 300} {
 		for _, perSecond := range []float64{0, 0.2, 1.9, 40} {
 			for name, sim := range map[string]limitSimulation{
-				"one grants": {}, "two grant": {granters: split}, "the granter changes": {granters: wanders}, "the granter restarts": {restartAt: 8 * time.Second},
+				"one issues": {}, "two issue": {issuers: split}, "the issuer changes": {issuers: wanders}, "the issuer restarts": {restartAt: 8 * time.Second},
 			} {
 				t.Run(fmt.Sprint(name, " ", nodes, " ", perSecond), func(t *testing.T) {
 					sim.nodes, sim.perSecond, sim.load = nodes, perSecond, 500
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -54,7 +54,7 @@
 	return time.Duration((plain + pairs) * p.factor)
 }
 
-// residenceTime is how long a request of usual length occupies a slot.
+// residenceTime is how long a request of mean length occupies a slot.
 func (p Pace) residenceTime(running int) time.Duration {
 	passes := p.engine.MeanAnswerTokens/float64(p.engine.Stride) + 1
 	return time.Duration(passes * float64(p.writeTime(running)))
--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -54,9 +54,9 @@
 	}
 	best.state.reserve(now, requester, request.Prompt)
 	limited := best.state.limit.limit.Named
-	granted, _ := best.state.limit.grant(now, request.PermitShare) // there is one, or the group would have been skipped
+	issued, _ := best.state.limit.issue(now, request.PermitShare) // there is one, or the group would have been skipped
 	return Choice{
-		Endpoint: best.endpoint, Predicted: best.predicted, Running: best.running, Age: best.state.reportAge(now), Permitted: limited && granted,
+		Endpoint: best.endpoint, Predicted: best.predicted, Running: best.running, Age: best.state.reportAge(now), Permitted: limited && issued,
 	}, nil
 }
 
@@ -70,7 +70,7 @@
 	defer t.mu.Unlock()
 	request.bias = t.bias
 	request.Nodes = 2       // this node and all others together: unshared load counts once
-	request.PermitShare = 0 // other zones grant permits for their own endpoints
+	request.PermitShare = 0 // other zones issue permits for their own endpoints
 	l := &lookup{request: request, now: now, zonesOut: zonesOut, evaluate: request.evaluateGroup}
 	l.consider(t, heads, func(e *fleet.Endpoint) bool { return e.Zone != request.Zone && !e.ColdAt(now) })
 	best := l.best
