--- /dev/null
+++ b/node/closing_writer.go
@@ -0,0 +1,29 @@
+package node
+
+import (
+	"net/http"
+
+	"redwinghall/gateway"
+)
+
+// closingWriter adds "Connection: close" to responses during a planned stop.
+//
+// It checks for a stop when the headers are sent, not when the request arrives.
+// Otherwise the caller of a request that was running at the signal would reuse the
+// connection, which is closed right after the response, and could not tell whether
+// its next request was executed.
+type closingWriter struct {
+	http.ResponseWriter
+	plannedStop func() gateway.Stop
+}
+
+// WriteHeader implements http.ResponseWriter.
+func (a closingWriter) WriteHeader(status int) {
+	if a.plannedStop().Active() {
+		a.Header().Set("Connection", "close")
+	}
+	a.ResponseWriter.WriteHeader(status)
+}
+
+// Unwrap gives http.ResponseController access to the underlying writer.
+func (a closingWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
--- a/node/connections.go
+++ b/node/connections.go
@@ -13,35 +13,34 @@
 	"redwinghall/platform"
 )
 
-// connections knows the callers' connections, and closes idle ones.
+// connections tracks the callers' connections and closes idle ones.
 //
-// Guard: a request may arrive in the very moment in which its idle connection
-// is closed. It would be read and passed on to an endpoint, and its caller
-// would see a connection that ends without an answer. Closing marks the
-// connection first, and a request on a marked one is dropped unread, so that
-// the caller knows that it can send it again.
+// A request may arrive just as its idle connection is being closed. Forwarding it
+// to an endpoint would leave its caller with a closed connection and no response.
+// A connection is therefore marked before it is closed, and a request on a marked
+// connection is dropped unread, so that the caller knows it can safely retry.
 type connections struct {
 	mu  sync.Mutex
 	all map[net.Conn]*connection
-	// ending says that each connection is closed behind the answer that runs on
-	// it; a planned stop sets it.
-	ending bool
+	// closeAfterResponse makes each connection close after its current response.
+	// It is set by a planned stop.
+	closeAfterResponse bool
 }
 
 type connection struct {
-	busy   bool
-	since  time.Time // of being idle
-	closed bool      // marked by this node, which closes it or has done so
+	busy      bool
+	idleSince time.Time // start of the idle period
+	closed    bool      // this node has closed the connection or is about to
 
-	opened  time.Time
-	taken   int    // requests so far
-	request string // that runs or ran last
-	takenAt time.Time
+	opened      time.Time
+	requests    int    // number of requests received
+	requestID   string // ID of the current or last request
+	requestedAt time.Time
 }
 
-// kind says for logs whether its last request came on a new or a kept connection.
+// kind returns, for log lines, whether the last request came on a new or a reused connection.
 func (c *connection) kind() string {
-	if c.taken > 1 {
+	if c.requests > 1 {
 		return "kept"
 	}
 	return "new"
@@ -51,31 +50,31 @@
 
 func newConnections() *connections { return &connections{all: map[net.Conn]*connection{}} }
 
-// context is a server's ConnContext hook.
-func (c *connections) context(ctx context.Context, conn net.Conn) context.Context {
+// connContext is the http.Server ConnContext hook.
+func (c *connections) connContext(ctx context.Context, conn net.Conn) context.Context {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	state := &connection{since: now, opened: now}
+	state := &connection{idleSince: now, opened: now}
 	c.all[conn] = state
 	return context.WithValue(ctx, connectionKey{}, state)
 }
 
-// note is a server's ConnState hook.
-func (c *connections) note(conn net.Conn, change http.ConnState) {
-	if c.endsWith(conn, change, time.Now()) {
+// connState is the http.Server ConnState hook.
+func (c *connections) connState(conn net.Conn, change http.ConnState) {
+	if c.updateState(conn, change, time.Now()) {
 		closeConnection(conn)
 	}
 }
 
-// endsWith notes a change of a connection's state, and reports whether the
+// updateState records a connection's new state and reports whether the
 // connection must be closed now.
 //
-// Guard: the headers of an answer that began before the stop don't say that
-// its connection ends, and its caller sends the next request on it as soon as
-// it has the answer. So the connection is closed right behind the answer, and
-// not at some later look at idle connections.
-func (c *connections) endsWith(conn net.Conn, change http.ConnState, now time.Time) (ends bool) {
+// A response whose headers were sent before the stop has no "Connection: close",
+// so its caller sends the next request as soon as it has the response. The
+// connection is therefore closed immediately after the response, not at the next
+// sweep of idle connections.
+func (c *connections) updateState(conn net.Conn, change http.ConnState, now time.Time) (ends bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state, ok := c.all[conn]
@@ -86,9 +85,9 @@
 	case http.StateActive:
 		state.busy = true
 	case http.StateIdle:
-		state.busy, state.since = false, now
-		state.closed = state.closed || c.ending
-		return c.ending
+		state.busy, state.idleSince = false, now
+		state.closed = state.closed || c.closeAfterResponse
+		return c.closeAfterResponse
 	case http.StateClosed, http.StateHijacked:
 		delete(c.all, conn)
 	case http.StateNew:
@@ -96,81 +95,82 @@
 	return false
 }
 
-// endAfterAnswers makes each answer from now on the last one on its connection.
-func (c *connections) endAfterAnswers() {
+// closeAfterResponses makes every connection close after its current or next response.
+func (c *connections) closeAfterResponses() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
+	c.closeAfterResponse = true
 }
 
-// guard serves requests on connections that this node has not closed. While a
-// planned stop is under way, answers say that their connection ends.
-func (c *connections) guard(next http.Handler, plannedStop func() gateway.Stop) http.Handler {
+// wrap returns a handler that aborts requests on connections that this node has
+// closed. During a planned stop, responses carry "Connection: close".
+func (c *connections) wrap(next http.Handler, plannedStop func() gateway.Stop) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if state, ok := r.Context().Value(connectionKey{}).(*connection); ok && !c.take(state, r, plannedStop()) {
+		if state, ok := r.Context().Value(connectionKey{}).(*connection); ok && !c.beginRequest(state, r, plannedStop()) {
 			panic(http.ErrAbortHandler)
 		}
-		next.ServeHTTP(lastAnswer{ResponseWriter: w, plannedStop: plannedStop}, r)
+		next.ServeHTTP(closingWriter{ResponseWriter: w, plannedStop: plannedStop}, r)
 	})
 }
 
-// take notes that a request came on a connection. It reports false if this
+// beginRequest records a request on a connection. It reports false if this
 // node has closed the connection.
-func (c *connections) take(state *connection, r *http.Request, stop gateway.Stop) bool {
+func (c *connections) beginRequest(state *connection, r *http.Request, stop gateway.Stop) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	state.taken++
-	state.request, state.takenAt = platform.DecodeAsk(r.Header).ID, now
+	state.requests++
+	state.requestID, state.requestedAt = platform.DecodeAsk(r.Header).ID, now
 	if state.closed {
-		klog.InfoS("request_on_closed_connection", "request", state.request, "connection", state.kind(),
-			"open_for", now.Sub(state.opened), "idle_since", now.Sub(state.since))
+		klog.InfoS("request_on_closed_connection", "request", state.requestID, "connection", state.kind(),
+			"open_for", now.Sub(state.opened), "idle_since", now.Sub(state.idleSince))
 		return false
 	}
 	if stop.Active() {
-		klog.InfoS("request_while_stopping", "request", state.request, "connection", state.kind(),
+		klog.InfoS("request_while_stopping", "request", state.requestID, "connection", state.kind(),
 			"stopping_for", now.Sub(stop.Begun), "left", stop.End.Sub(now))
 	}
 	return true
 }
 
-// logCut names the requests that end with the process.
-func (c *connections) logCut(now time.Time) {
+// logInterrupted logs the requests that are still running when the process exits.
+func (c *connections) logInterrupted(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, state := range c.all {
 		if state.busy {
-			klog.InfoS("cut_by_stop", "request", state.request, "connection", state.kind(), "ran_for", now.Sub(state.takenAt))
+			klog.InfoS("cut_by_stop", "request", state.requestID, "connection", state.kind(), "ran_for", now.Sub(state.requestedAt))
 		}
 	}
 }
 
-// firstRequestTime is what a new connection has to bring its request, before it
-// counts as idle.
+// firstRequestTime is how long a new connection may take to send its first
+// request before it counts as idle.
 const firstRequestTime = 200 * time.Millisecond
 
-// working reports whether a connection has a request that runs, or has just
-// been opened for one.
-func (c *connections) working(now time.Time) bool {
+// active reports whether any connection has a running request, or was opened so
+// recently that its first request may still arrive.
+func (c *connections) active(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.workingLocked(now)
+	return c.activeLocked(now)
 }
 
-func (c *connections) workingLocked(now time.Time) bool {
+func (c *connections) activeLocked(now time.Time) bool {
 	for _, state := range c.all {
-		if state.busy || (state.taken == 0 && now.Sub(state.opened) < firstRequestTime) {
+		if state.busy || (state.requests == 0 && now.Sub(state.opened) < firstRequestTime) {
 			return true
 		}
 	}
 	return false
 }
 
-// closeUnlessWorking closes all connections if none is working, and reports
-// whether it did. Both are one step, so that no request comes between them.
-func (c *connections) closeUnlessWorking(now time.Time) bool {
+// closeIfInactive closes all connections if none is active, and reports whether
+// it did. Check and marking happen under one lock, so that no request can start
+// in between.
+func (c *connections) closeIfInactive(now time.Time) bool {
 	c.mu.Lock()
-	if c.workingLocked(now) {
+	if c.activeLocked(now) {
 		c.mu.Unlock()
 		return false
 	}
@@ -202,7 +202,7 @@
 
 func (c *connections) markIdleLocked(now time.Time, limit time.Duration) (idle []net.Conn) {
 	for conn, state := range c.all {
-		if state.busy || state.closed || now.Sub(state.since) < limit {
+		if state.busy || state.closed || now.Sub(state.idleSince) < limit {
 			continue
 		}
 		state.closed = true
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// fewNodes is the most nodes of a zone that need no dispatcher: each sees so much
-	// of the load that it chooses well by itself.
-	fewNodes = 3
-	// dispatcherFirst is how long a dispatcher that gave no answer is passed over; each
-	// further failure doubles it up to dispatcherLongest. One answer may be late
-	// because a VM stood still for a moment, so the first pause is short.
-	dispatcherFirst   = 250 * time.Millisecond
-	dispatcherLongest = 4 * time.Second
+	// maxNodesWithoutDispatcher is the largest number of nodes in a zone that works without a
+	// dispatcher: each node then sees enough of the load to choose groups well itself.
+	maxNodesWithoutDispatcher = 3
+	// dispatcherMinBackoff is how long a dispatcher that failed to respond is skipped. Each
+	// further failure doubles the backoff, up to dispatcherMaxBackoff. A single response
+	// may be late because a VM paused briefly, so the first backoff is short.
+	dispatcherMinBackoff = 250 * time.Millisecond
+	dispatcherMaxBackoff = 4 * time.Second
 )
 
-// dispatcher returns the node that chooses groups for all nodes of a zone, as
-// far as this node can tell. There is none in a zone of few nodes.
+// dispatcher returns the node that chooses groups for all nodes of a zone,
+// according to this node's view of the membership. A zone with few nodes has none.
 //
-// Guard: a dispatcher that ended, is cut off or stands still gives no answer.
-// Each node that finds that out passes over it, and the next in rank chooses
-// meanwhile, by what it hears of the others' loads.
+// A dispatcher that exited, is unreachable or is paused does not respond. Each node
+// that notices skips it for a while, and the next node in rank dispatches in the
+// meantime, using the loads that the other nodes report to it.
 func (n *Node) dispatcher(now time.Time, zone string) (relay.Peer, bool) {
 	peers := n.peersOf(zone)
-	if len(peers) <= fewNodes {
+	if len(peers) <= maxNodesWithoutDispatcher {
 		return relay.Peer{}, false
 	}
-	return n.avoided.First(now, peers)
+	return n.backoff.First(now, peers)
 }
 
 // dispatches reports whether this node chooses groups for all nodes of its zone.
@@ -39,28 +39,28 @@
 	return ok && one.Name == n.settings.Node
 }
 
-// undispatched notes that a dispatcher gave no answer.
-func (n *Node) undispatched(now time.Time, zone string, peer relay.Peer, err error) {
+// noteSilent starts or extends the backoff for a dispatcher that did not respond.
+func (n *Node) noteSilent(now time.Time, zone string, peer relay.Peer, err error) {
 	klog.InfoS("dispatcher_silent", "zone", zone, "node", peer.Name, "err", err)
-	n.avoided.Failed(now, peer.Name)
+	n.backoff.Failed(now, peer.Name)
 }
 
-// told takes in that a node of the zone has told its loads.
-func (n *Node) told(now time.Time, node string, settled uint64) {
+// handleShare processes a load report from another node of the zone.
+func (n *Node) handleShare(now time.Time, node string, settled uint64) {
 	n.tracker.Settle(node, settled)
-	if n.gathers(now) {
-		n.takeBoard(now)
+	if n.collectsLoads(now) {
+		n.applyBoard(now)
 	}
 }
 
-// gathers reports whether the nodes of this zone tell this one their loads.
-func (n *Node) gathers(now time.Time) bool {
-	first, ok := n.avoided.First(now, n.peers())
+// collectsLoads reports whether the nodes of this zone report their loads to this node.
+func (n *Node) collectsLoads(now time.Time) bool {
+	first, ok := n.backoff.First(now, n.peers())
 	return ok && first.Name == n.settings.Node
 }
 
-// takeBoard takes in what the board shows of others' loads.
-func (n *Node) takeBoard(now time.Time) {
+// applyBoard updates the tracker with the other nodes' and zones' loads from the board.
+func (n *Node) applyBoard(now time.Time) {
 	n.tracker.SetOthers(now, n.board.Others(now, n.settings.Node))
 	n.tracker.SetZones(now, n.board.Zones(now))
 }
--- a/node/era_test.go
+++ b/node/era_test.go
@@ -12,12 +12,12 @@
 	"redwinghall/platform/platformtest"
 )
 
-// drainBound is how long after it said that it leaves an endpoint may get requests.
+// drainBound is how long an endpoint may still receive requests after it reports draining.
 const drainBound = 2 * time.Second
 
-// goBack lets the store come back from a copy that is many versions older. Endpoints and
-// operators write again what they had written.
-func (z *zoned) goBack(t *testing.T) {
+// restoreStore restores the store from a copy that is many versions older. Endpoints
+// then write their entries again.
+func (z *zonedDeployment) restoreStore(t *testing.T) {
 	t.Helper()
 	const lost = 400 // versions
 	store := z.nodes[0].store
@@ -25,14 +25,14 @@
 	for i := range lost {
 		require.NoError(t, store.Put("status", "note", i))
 	}
-	time.Sleep(2 * time.Second) // all nodes have read that far
+	time.Sleep(2 * time.Second) // until all nodes have read these versions
 	store.ComeBack(kept)
 	for _, e := range z.all() {
 		require.NoError(t, e.Beat())
 	}
 }
 
-func (z *zoned) all() []*platformtest.Endpoint {
+func (z *zonedDeployment) all() []*platformtest.Endpoint {
 	all := append([]*platformtest.Endpoint(nil), z.desks...)
 	for _, heads := range z.heads {
 		all = append(all, heads...)
@@ -40,37 +40,37 @@
 	return all
 }
 
-// After its return the store gives out lower versions than nodes have seen: they must
-// follow it all the same, and not by lists alone.
-func TestChangesAfterTheStoreWentBackAreFollowed(t *testing.T) {
+// A restored store assigns versions below those that nodes have already read. Nodes
+// must still follow its changes, and not only through full lists.
+func TestChangesAfterStoreRestoreAreFollowed(t *testing.T) {
 	for name, nodes := range map[string]map[string]int{"each reads": {"a": 2, "b": 1}, "one reads for all": {"a": 5}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			z := deployZones(t, nodes)
-			z.goBack(t)
+			z.restoreStore(t)
 			time.Sleep(2 * time.Second)
 			refused := z.nodes[0].store.Refused()
 			require.NoError(t, z.desks[0].Drain())
 			left := time.Now()
 			require.NoError(t, z.nodes[0].store.Put("op", "config", platformtest.Configuration(2, "key-1", "key-2")))
-			z.play(t, 5*time.Second, http.MethodGet, "/look/x")
+			z.runCallers(t, 5*time.Second, http.MethodGet, "/look/x")
 			for _, at := range z.desks[0].Arrived() {
 				require.Less(t, at.Sub(left), drainBound)
 			}
-			require.LessOrEqual(t, z.nodes[0].store.Refused(), refused, "nodes ask on for what the store doesn't have")
+			require.LessOrEqual(t, z.nodes[0].store.Refused(), refused, "nodes keep requesting changes that the store doesn't have")
 			require.NotEmpty(t, z.desks[1].Arrived(), fmt.Sprint(nodes))
 		})
 	}
 }
 
-// recoveryBound is how long after all nodes are back callers may go unserved.
+// recoveryBound is how long requests may fail after all nodes have restarted.
 const recoveryBound = 12 * time.Second
 
-// The store comes back older, and all nodes end and start again: they know only what the copy
-// says, and must serve in time, from groups that are still whole.
-func TestAllNodesStartAgainAsTheStoreComesBackOlder(t *testing.T) {
+// The store is restored from an older copy and all nodes restart, so they know only what
+// the copy holds. They must serve again in time, from groups that are still complete.
+func TestAllNodesRestartAfterStoreRestore(t *testing.T) {
 	z := deployZones(t, map[string]int{"a": 4})
-	z.goBack(t)
+	z.restoreStore(t)
 	for _, d := range z.nodes {
 		d.stop()
 	}
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -16,8 +16,8 @@
 	"redwinghall/platform/platformtest"
 )
 
-// limitWindow, limitOvershoot and limitSlack are how much more than its limit an endpoint
-// may get, summed over all nodes.
+// limitWindow, limitOvershoot and limitSlack bound how far the requests of all nodes
+// together may exceed an endpoint's limit.
 const (
 	limitWindow    = 4 * time.Second
 	limitOvershoot = 1.5
@@ -28,20 +28,20 @@
 	return int(limitOvershoot*perSecond*limitWindow.Seconds()) + limitSlack
 }
 
-// zoned is several nodes in zones, each with endpoints of its own.
-type zoned struct {
+// zonedDeployment is a deployment of several nodes in zones, each zone with its own endpoints.
+type zonedDeployment struct {
 	nodes []*deployment
 	heads map[string][]*platformtest.Endpoint // engines, by zone
 	desks []*platformtest.Endpoint
 }
 
-// deployZones starts nodes, so many in each zone, and waits until all serve.
-func deployZones(t *testing.T, nodes map[string]int) *zoned {
+// deployZones starts the given number of nodes in each zone and waits until all of them serve.
+func deployZones(t *testing.T, nodes map[string]int) *zonedDeployment {
 	t.Helper()
 	store, ledger := platformtest.NewStore(), platformtest.NewLedger()
 	t.Cleanup(store.Close)
 	require.NoError(t, store.Put("op", "config", platformtest.Configuration(1, "key-1")))
-	z := &zoned{heads: map[string][]*platformtest.Endpoint{}}
+	z := &zonedDeployment{heads: map[string][]*platformtest.Endpoint{}}
 	var zones []string
 	for zone := range nodes {
 		zones = append(zones, zone)
@@ -61,8 +61,8 @@
 	return z
 }
 
-// endpoints adds two groups and two desks to a zone.
-func (z *zoned) endpoints(t *testing.T, store *platformtest.Store, ledger *platformtest.Ledger, zone string) {
+// endpoints adds the engines of two groups and two desk endpoints to a zone.
+func (z *zonedDeployment) endpoints(t *testing.T, store *platformtest.Store, ledger *platformtest.Ledger, zone string) {
 	t.Helper()
 	add := func(config platformtest.EndpointConfig) *platformtest.Endpoint {
 		e, err := platformtest.NewEndpoint(config, store, ledger)
@@ -96,8 +96,8 @@
 	return d
 }
 
-// open returns an open head of a zone.
-func (z *zoned) open(t *testing.T, zone string) *platformtest.Endpoint {
+// open returns the head of an open group of a zone.
+func (z *zonedDeployment) open(t *testing.T, zone string) *platformtest.Endpoint {
 	t.Helper()
 	for _, e := range z.heads[zone] {
 		if e.Open() {
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// play lets callers of each node ask without a pause for so long. It returns how many
-// were answered.
-func (z *zoned) play(t *testing.T, d time.Duration, method, path string) int {
+// runCallers runs callers against each node for d, each sending requests in a loop. It returns
+// the number of successful requests.
+func (z *zonedDeployment) runCallers(t *testing.T, d time.Duration, method, path string) int {
 	t.Helper()
 	const callersPerNode = 3
 	var answered, asked atomic.Int64
@@ -134,10 +134,11 @@
 	return int(answered.Load())
 }
 
-// limitSettles is how long nodes have until a limit that was named holds over all of them.
-const limitSettles = time.Second
+// limitSettleTime is how long the nodes may take to enforce a newly announced limit together.
+const limitSettleTime = time.Second
 
-// The sum over all nodes: each keeps sending to an endpoint that has said how little it takes.
+// An endpoint announces a low request limit. Each node that applies the limit on its own
+// would let the sum over all nodes exceed it.
 func TestLimitOfAnEndpointHoldsOverAllNodes(t *testing.T) {
 	const perSecond = 1.0
 	for name, nodes := range map[string]map[string]int{
@@ -153,11 +154,11 @@
 				}
 				limited.NameLimit(perSecond)
 				named := time.Now()
-				answered := z.play(t, 8*time.Second, method, path)
-				most := platformtest.MostIn(limited.Arrived(), limitWindow, named.Add(limitSettles))
+				answered := z.runCallers(t, 8*time.Second, method, path)
+				most := platformtest.MostIn(limited.Arrived(), limitWindow, named.Add(limitSettleTime))
 				require.LessOrEqual(t, most, limitAllows(perSecond))
-				require.Positive(t, most, "what the endpoint takes is used")
-				require.Greater(t, answered, 100, "the other endpoints serve")
+				require.Positive(t, most, "the endpoint still receives requests within its limit")
+				require.Greater(t, answered, 100, "the other endpoints serve the remaining requests")
 			})
 		}
 	}
--- a/node/listen.go
+++ b/node/listen.go
@@ -16,14 +16,14 @@
 
 // Limits of the listeners.
 const (
-	// callerHeaderTimeout is above what the configuration grants callers; it
-	// only ends connections on which nothing useful will come.
-	callerHeaderTimeout = 20 * time.Second
-	maxHeaderBytes      = 64 << 10
-	smallHeaderTimeout  = 5 * time.Second
-	// idleSweep is how often idle connections are looked at, idleSlack what
-	// they get beyond the configuration's limit, so that a caller that uses
-	// one in time never finds it closed.
+	// callerHeaderTimeout is longer than the header timeout that the configuration
+	// grants callers; it only closes connections on which no valid request will arrive.
+	callerHeaderTimeout   = 20 * time.Second
+	maxHeaderBytes        = 64 << 10
+	internalHeaderTimeout = 5 * time.Second
+	// idleSweep is how often idle connections are checked. idleSlack is added to the
+	// configured idle timeout, so that a caller that reuses a connection within the
+	// timeout never finds it closed.
 	idleSweep = time.Second
 	idleSlack = 5 * time.Second
 	// MetricsPort and MetricsPath are where a node serves its metrics.
@@ -31,24 +31,24 @@
 	MetricsPath = "/metrics"
 )
 
-// listen opens the listeners, so that a taken port is an error at the start.
+// listen opens all listeners, so that a port in use is reported at startup.
 func (n *Node) listen(g *kernel.Group) error {
 	callers := &http.Server{
-		Addr: n.settings.Callers, Handler: n.conns.guard(n.gateway, n.plannedStop),
+		Addr: n.settings.Callers, Handler: n.conns.wrap(n.gateway, n.plannedStop),
 		ReadHeaderTimeout: callerHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: n.conns.note, ConnContext: n.conns.context,
+		ConnState: n.conns.connState, ConnContext: n.conns.connContext,
 	}
-	readiness := &http.Server{Addr: n.settings.Readiness, Handler: n.smallRoutes(), ReadHeaderTimeout: smallHeaderTimeout}
-	figures := &http.Server{
+	readiness := &http.Server{Addr: n.settings.Readiness, Handler: n.statusRoutes(), ReadHeaderTimeout: internalHeaderTimeout}
+	metricsServer := &http.Server{
 		Addr:    net.JoinHostPort(n.settings.IP, strconv.Itoa(MetricsPort)),
-		Handler: n.smallRoutes(), ReadHeaderTimeout: smallHeaderTimeout,
+		Handler: n.statusRoutes(), ReadHeaderTimeout: internalHeaderTimeout,
 	}
 	listener, err := serve(g, callers)
 	if err != nil {
 		return err
 	}
 	n.callers = listener
-	for _, server := range []*http.Server{readiness, figures, n.neighborServer()} {
+	for _, server := range []*http.Server{readiness, metricsServer, n.neighborServer()} {
 		if _, err := serve(g, server); err != nil {
 			return err
 		}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (n *Node) smallRoutes() http.Handler {
+func (n *Node) statusRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.PathReadiness, n.serveReadiness)
 	mux.HandleFunc("GET "+MetricsPath, n.serveMetrics)
@@ -73,8 +73,8 @@
 	metrics.WriteJSONOnce(n.metrics.Registry(), w)
 }
 
-// serve runs a server until the group stops. Closing its listener only ends
-// the taking of new connections.
+// serve runs a server until the group stops. Closing the returned listener stops
+// only the accepting of new connections.
 func serve(g *kernel.Group, server *http.Server) (net.Listener, error) {
 	listener, err := net.Listen("tcp", server.Addr)
 	if err != nil {
--- a/node/logs.go
+++ b/node/logs.go
@@ -13,21 +13,21 @@
 	"redwinghall/kernel"
 )
 
-// Bounds of the log.
+// Limits of the log.
 const (
-	// logLines is how many lines may wait for a slow reader.
+	// logLines is how many lines are buffered for a slow reader.
 	logLines = 2048
-	// logRate and logBurst bound the lines of a second, far above what a busy node writes.
+	// logRate and logBurst limit the lines per second, far above what a busy node writes.
 	logRate     = 400
 	logBurst    = 800
 	logInterval = time.Second
 )
 
-// LogSink writes log lines without ever blocking who logs.
+// LogSink writes log lines without ever blocking the logging goroutine.
 //
-// Guard: a reader of standard output that stops reading fills the pipe, and a
-// process that logs then stands still with all its requests. Lines wait in a
-// bounded queue instead; what finds no place is dropped, and the number of
+// If the reader of standard output stops reading, the pipe fills up, and writing
+// to it directly would block the process with all its requests. Lines go to a
+// bounded queue instead. Lines that don't fit are dropped, and the number of
 // dropped lines is logged once there is room again.
 type LogSink struct {
 	out     io.Writer
@@ -36,7 +36,7 @@
 	tokens  atomic.Int64
 }
 
-// NewLogSink returns a sink in front of out.
+// NewLogSink returns a sink that writes to out.
 func NewLogSink(out io.Writer) *LogSink {
 	s := &LogSink{out: out, lines: make(chan []byte, logLines)}
 	s.tokens.Store(logBurst)
@@ -60,7 +60,7 @@
 // Dropped returns how many lines were dropped since the last call.
 func (s *LogSink) Dropped() int64 { return s.dropped.Swap(0) }
 
-// Start writes lines until the group stops, and refills the rate.
+// Start writes queued lines and refills the rate limit until the group stops.
 func (s *LogSink) Start(g *kernel.Group) {
 	g.Go("log", func(ctx context.Context) error {
 		for {
@@ -92,7 +92,7 @@
 	}
 }
 
-// write hands a line on. A log that can't be written has nowhere to say so.
+// write passes a line to the output. Errors are ignored, as there is nowhere to report them.
 func (s *LogSink) write(line []byte) { _, _ = s.out.Write(line) }
 
 // UseLogSink sends klog's lines of all levels to a sink.
@@ -103,7 +103,7 @@
 		"logtostderr": "false", "alsologtostderr": "false", "stderrthreshold": "FATAL", "one_output": "true",
 		"v": strconv.Itoa(verbose),
 	} {
-		_ = set.Set(name, value) // these names exist in this version of klog
+		_ = set.Set(name, value) // klog defines all of these flags
 	}
 	klog.SetOutput(sink)
 }
--- a/node/logs_test.go
+++ b/node/logs_test.go
@@ -11,19 +11,19 @@
 	"redwinghall/node"
 )
 
-// stuckWriter never returns from its first write.
-type stuckWriter struct{ release chan struct{} }
+// blockedWriter blocks in Write until it is released.
+type blockedWriter struct{ release chan struct{} }
 
-func (s *stuckWriter) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// Whoever reads the standard output stops reading, the pipe is full, and a
-// process that logs stands still with all its requests. Logging must go on
-// without waiting, and count what it drops.
+// If the reader of standard output stops reading, the pipe fills up and a process
+// that writes its log there blocks with all its requests. Logging must never block,
+// and must count the lines that it drops.
 func TestLogNeverBlocks(t *testing.T) {
-	out := &stuckWriter{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	sink := node.NewLogSink(out)
 	g := kernel.NewGroup(context.Background())
 	sink.Start(g)
@@ -40,7 +40,7 @@
 	select {
 	case <-written:
 	case <-time.After(10 * time.Second):
-		t.Fatal("logging waits for its reader")
+		t.Fatal("logging blocks on its reader")
 	}
 	require.Positive(t, sink.Dropped())
 	close(out.release)
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -15,13 +15,13 @@
 	"redwinghall/relay"
 )
 
-// zoneInterval is how often the zones tell each other their loads. Bytes between
-// zones cost, and a load that is older sends streams to a group that has filled
-// up since.
+// zoneInterval is how often zones report their loads to each other. Traffic between
+// zones costs money, but a longer interval would send streams to groups that have
+// filled up since the last report.
 const zoneInterval = 250 * time.Millisecond
 
-// sameValue returns how values of a table's rows are compared. In the members'
-// table each writing counts, as it shows that a node lives.
+// sameValue returns how the row values of a table are compared. It returns nil for
+// the members' table, where every write counts as it shows that a node is alive.
 func sameValue(table string) relay.SameValue {
 	if table == platform.TableEndpoints {
 		return platform.SameEntry
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// leader returns the name of the node that forms this zone's groups, if it is known.
+// leader returns the name of the node that forms this zone's groups, or "" if it is unknown.
 func (n *Node) leader() string {
 	holder, _ := n.table.Holder(n.settings.Zone)
 	return holder.Name
@@ -38,8 +38,8 @@
 // peers returns the nodes of this zone.
 func (n *Node) peers() []relay.Peer { return n.peersOf(n.settings.Zone) }
 
-// foreigners returns the nodes of the other zones.
-func (n *Node) foreigners() []relay.Peer {
+// otherZonePeers returns the nodes of the other zones.
+func (n *Node) otherZonePeers() []relay.Peer {
 	var peers []relay.Peer
 	for _, zone := range n.settings.Zones {
 		if zone != n.settings.Zone {
@@ -49,7 +49,7 @@
 	return peers
 }
 
-// peersOf returns the nodes of a zone, in the order in which they are to dispatch.
+// peersOf returns the nodes of a zone, ordered by their rank as dispatcher.
 func (n *Node) peersOf(zone string) []relay.Peer { return n.rosters.of(n.table.Nodes()).zones[zone] }
 
 func (n *Node) internalAddress() string {
@@ -58,36 +58,37 @@
 
 func (n *Node) neighborServer() *http.Server {
 	return &http.Server{
-		Addr: n.internalAddress(), ReadHeaderTimeout: smallHeaderTimeout,
+		Addr: n.internalAddress(), ReadHeaderTimeout: internalHeaderTimeout,
 		Handler: neighbor.NewHandler(neighbor.Parts{
 			Mirror: n.source.Mirror, Board: n.board, Suspect: n.manager.Stalled,
-			Commit: n.source.CommitDirect, Reserve: n.reserve, Told: n.told,
+			Commit: n.source.CommitDirect, Reserve: n.reserve, Told: n.handleShare,
 			Limits: n.tracker, Permit: n.lend,
 		}),
 	}
 }
 
-// startZoneSharing tells the other zones how much this zone's nodes have. The
-// node that gathers a zone's loads speaks for it.
+// startZoneSharing reports the load of this zone to the other zones. The report is
+// sent by the node that collects the zone's loads.
 func (n *Node) startZoneSharing(g *kernel.Group) {
 	for _, zone := range n.settings.Zones {
 		if zone == n.settings.Zone {
 			continue
 		}
 		g.Every("share_zone "+zone, zoneInterval, func(ctx context.Context, now time.Time) {
-			theirs, ok := n.avoided.First(now, n.peersOf(zone))
-			if !ok || !n.gathers(now) {
+			theirs, ok := n.backoff.First(now, n.peersOf(zone))
+			if !ok || !n.collectsLoads(now) {
 				return
 			}
 			if err := n.neighbors.ShareZone(ctx, theirs.Address, n.settings.Zone, n.board.Zone(now), n.tracker.ChangedLimits(now)); err != nil {
-				n.undispatched(time.Now(), zone, theirs, err)
+				n.noteSilent(time.Now(), zone, theirs, err)
 			}
 		})
 	}
 }
 
-// suspect tells the holder of an endpoint's zone that little moves there.
-func (n *Node) suspect(endpointID string) {
+// reportStalled tells the lease holder of an endpoint's zone that the endpoint's group makes
+// little progress.
+func (n *Node) reportStalled(endpointID string) {
 	e, ok := n.book.View().Endpoints[endpointID]
 	if !ok {
 		return
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
-// Package node assembles the one process of an entry VM from the library's
-// parts: it follows the store, serves callers, and forms the groups of its
-// zone while it holds the zone's lease.
+// Package node assembles the process that runs on each entry VM: it follows the
+// store, serves callers, and forms the groups of its zone while it holds the
+// zone's lease.
 package node
 
 import (
@@ -30,20 +30,21 @@
 )
 
 const (
-	// memoryShare is the part of the VM's memory that the collector aims to
-	// stay below; the rest is stacks and buffers of the kernel.
-	memoryShare = 0.6
-	// collectPercent keeps the collector quiet while the live heap is small.
-	collectPercent = 150
+	// memoryLimitFraction is the fraction of the VM's memory used as the runtime's memory
+	// limit; the rest is for stacks and kernel buffers.
+	memoryLimitFraction = 0.6
+	// gcPercent makes the garbage collector run less often while the live heap
+	// is small.
+	gcPercent      = 150
 	forgetInterval = 10 * time.Second
-	// slowInterval is how often the members of slow groups are asked; each
-	// question is priced.
+	// slowInterval is how often the members of slow groups are checked; each
+	// request to a member has a cost.
 	slowInterval = time.Second
 )
 
 // Node is an assembled node.
 type Node struct {
-	path     string // of the settings file; "" if it is never read again
+	path     string // of the settings file; "" disables reloading
 	settings fleet.Settings
 	current  atomic.Pointer[fleet.Settings]
 	book     *directory.Book
@@ -54,7 +55,7 @@
 	manager  *formation.Manager
 	follower *directory.Follower
 	metrics  *gateway.Metrics
-	// source is the store, read by way of the zone's readers.
+	// source is the store as read through the zone's reader nodes.
 	source    *relay.Source
 	neighbors *neighbor.Client
 	board     *neighbor.Board
@@ -62,21 +63,22 @@
 	stopping  atomic.Pointer[gateway.Stop] // nil unless a planned stop is under way
 	conns     *connections
 	rosters   rosterCache
-	// avoided are dispatchers that gave no answer.
-	avoided *relay.Avoided
+	// backoff tracks dispatchers that failed to respond.
+	backoff *relay.Avoided
 	callers net.Listener
 }
 
-// New assembles a node. path is where its settings came from.
+// New assembles a node. path is the settings file that is reloaded while the node
+// runs, or "" for none.
 func New(path string, s fleet.Settings) *Node {
 	store := platform.NewStore(s.StoreAddress)
 	n := &Node{
 		path: path, settings: s, book: directory.NewBook(), tracker: balance.NewTracker(), upstream: gateway.NewUpstream(),
 		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), board: neighbor.NewBoard(),
-		avoided: relay.NewAvoided(dispatcherFirst, dispatcherLongest),
+		backoff: relay.NewAvoided(dispatcherMinBackoff, dispatcherMaxBackoff),
 	}
 	n.source = relay.NewSource(relay.Config{
-		Store: store, Asker: n.neighbors, Self: s.Node, Peers: n.peers, Others: n.foreigners, Leader: n.leader, Same: sameValue,
+		Store: store, Asker: n.neighbors, Self: s.Node, Peers: n.peers, Others: n.otherZonePeers, Leader: n.leader, Same: sameValue,
 	})
 	n.current.Store(&s)
 	n.table = members.NewTable(members.Config{
@@ -84,7 +86,7 @@
 		Zones: s.Zones, FirstStart: s.FirstStart, Now: kernel.BootTime,
 	}, n.source)
 	n.manager = formation.NewManager(formation.Options{
-		Settings: n.inForce, Book: n.book, Orderer: platform.NewEngines(), Position: n.table.Position,
+		Settings: n.currentSettings, Book: n.book, Orderer: platform.NewEngines(), Position: n.table.Position,
 		Holds:    func(zone string) bool { return n.table.Holds(zone, kernel.BootTime()) },
 		HeldFrom: n.table.HeldFrom,
 		Settled:  n.table.Settled,
@@ -93,9 +95,9 @@
 		Running:  n.tracker.Running,
 	})
 	n.gateway = gateway.New(gateway.Options{
-		Settings: n.inForce, Book: n.book, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
+		Settings: n.currentSettings, Book: n.book, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
 		Shares:   n.shares,
-		Stalled:  n.suspect,
+		Stalled:  n.reportStalled,
 		Placer:   newZonePlacer(n),
 		Lender:   lender{n},
 		Stopping: n.plannedStop,
@@ -104,7 +106,8 @@
 	return n
 }
 
-// RunLogged returns Run with its log on out, for a program's main.
+// RunLogged returns a function for a program's main that runs the node with its log
+// written to out.
 func (n *Node) RunLogged(out io.Writer) func(context.Context) error {
 	return func(ctx context.Context) error {
 		logs := kernel.NewGroup(context.Background())
@@ -118,7 +121,7 @@
 	}
 }
 
-// Run serves until ctx ends, and then stops without breaking requests off.
+// Run serves until ctx ends, and then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	tune(n.settings)
 	g := kernel.NewGroup(context.Background())
@@ -137,7 +140,7 @@
 	n.startZoneSharing(g)
 	g.Every("slow_groups", slowInterval, func(_ context.Context, now time.Time) {
 		for _, id := range n.tracker.Slow(now) {
-			n.suspect(id)
+			n.reportStalled(id)
 		}
 	})
 	g.Every("forget", forgetInterval, func(_ context.Context, now time.Time) { n.tracker.Forget(now) })
@@ -155,16 +158,16 @@
 	return err
 }
 
-// shares returns what this node may use of what all nodes share.
+// shares returns this node's share of the limits that all nodes have in common.
 func (n *Node) shares() gateway.Shares {
-	if !n.knowsOthers() {
+	if !n.knowsMembers() {
 		return gateway.Shares{Zone: 1}
 	}
 	return gateway.Shares{Nodes: len(n.table.Nodes()), Zone: len(n.peers()), Dispatches: n.dispatches(time.Now())}
 }
 
-// knowsOthers reports whether this node has read who the other nodes are.
-func (n *Node) knowsOthers() bool {
+// knowsMembers reports whether this node has read the list of nodes.
+func (n *Node) knowsMembers() bool {
 	select {
 	case <-n.table.Known():
 		return true
@@ -173,7 +176,8 @@
 	}
 }
 
-// capacityOf returns the class of a VM: each is twice as strong as the one below.
+// capacityOf returns the capacity class of a VM. Each class has twice the processing
+// power of the one below.
 func capacityOf(s fleet.Settings) int {
 	if s.Processor <= 0 {
 		return 0
@@ -181,17 +185,17 @@
 	return int(math.Round(math.Log2(s.Processor)))
 }
 
-// tune fits the runtime to the VM: one thread's worth of work, and a limit
-// that the collector keeps below the VM's memory.
+// tune configures the Go runtime for the VM: a single processor, and a memory limit
+// below the VM's memory.
 func tune(s fleet.Settings) {
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(gcPercent)
 	if s.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryBytes)))
 	}
 }
 
-// ready reports whether the balancer should send new connections here.
+// ready reports whether the load balancer should send new connections to this node.
 func (n *Node) ready() bool {
 	return n.stopping.Load() == nil && n.book.View().Config() != nil
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -22,7 +22,7 @@
 	"redwinghall/platform/platformtest"
 )
 
-// deployment is one node before stand-ins of the platform.
+// deployment is one node with a fake store and fake endpoints.
 type deployment struct {
 	t        *testing.T
 	store    *platformtest.Store
@@ -36,18 +36,18 @@
 
 const answerEvents = 5
 
-// hosts counts the loopback addresses that tests use: each of a run has its own, as a
-// node's metrics stand on a fixed port.
+// hosts counts the loopback addresses in use. Each node of a test run has its own
+// address, as a node serves its metrics on a fixed port.
 var hosts atomic.Int32
 
-// freeAddresses returns different addresses of a host that were free a moment ago.
+// freeAddresses returns n distinct addresses of a host that were free at the time of the call.
 func freeAddresses(t *testing.T, host string, n int) []string {
 	t.Helper()
 	var addresses []string
 	for range n {
 		listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 		require.NoError(t, err)
-		defer func() { require.NoError(t, listener.Close()) }() // not before all are taken
+		defer func() { require.NoError(t, listener.Close()) }() // deferred, so that no port is returned twice
 		addresses = append(addresses, listener.Addr().String())
 	}
 	return addresses
@@ -68,8 +68,8 @@
 	return deployWith(t, platformtest.EndpointConfig{Event: 10 * time.Millisecond, Events: answerEvents}, platformtest.EndpointConfig{})
 }
 
-// deployWith lays a deployment out whose engines answer with the events of
-// engine, and whose booking desk takes as long as desk says.
+// deployWith prepares a deployment whose engines respond with the events of engine,
+// and whose booking desk takes the time given by desk.
 func deployWith(t *testing.T, engine, desk platformtest.EndpointConfig) *deployment {
 	t.Helper()
 	d := &deployment{t: t, store: platformtest.NewStore(), ledger: platformtest.NewLedger(), done: make(chan error, 1)}
@@ -113,7 +113,7 @@
 	g := kernel.NewGroup(context.Background())
 	g.Go("node", func(context.Context) error {
 		err := n.Run(ctx)
-		assert.NoError(d.t, err, "the node ended by itself")
+		assert.NoError(d.t, err, "the node exited with an error")
 		d.done <- err
 		return nil
 	})
@@ -128,11 +128,11 @@
 	if err != nil {
 		return false
 	}
-	defer func() { _ = answer.Body.Close() }() // nothing is read of it
+	defer func() { _ = answer.Body.Close() }() // the body isn't read
 	return answer.StatusCode == http.StatusOK
 }
 
-// waitOpen waits until a group may serve.
+// waitOpen waits until a group is open.
 func (d *deployment) waitOpen() {
 	d.t.Helper()
 	require.Eventually(d.t, d.ready, 10*time.Second, 20*time.Millisecond)
@@ -146,7 +146,7 @@
 	}, 20*time.Second, 20*time.Millisecond)
 }
 
-// waitServing waits until a stream was served.
+// waitServing waits until a stream has been served.
 func (d *deployment) waitServing() {
 	d.t.Helper()
 	d.waitOpen()
@@ -164,13 +164,14 @@
 	return d.send(http.DefaultClient, r)
 }
 
-// send returns what a caller gets: status 0 if the answer is missing or isn't whole.
+// send returns the response that a caller receives. The status is 0 if the response is
+// missing or incomplete.
 func (d *deployment) send(client *http.Client, r *http.Request) (status int, body string) {
 	answer, err := client.Do(r)
 	if err != nil {
 		return 0, ""
 	}
-	defer func() { _ = answer.Body.Close() }() // it was read or failed
+	defer func() { _ = answer.Body.Close() }() // the body was read or the read failed
 	data, err := io.ReadAll(answer.Body)
 	if err != nil {
 		return 0, string(data)
@@ -198,8 +199,8 @@
 	require.Contains(t, string(data), "first_event_us.depot.streaming.llm")
 }
 
-// A key is withdrawn while the store forgets its history: it must stop working
-// all the same.
+// An API key is revoked while the store drops its change history. The key must stop
+// working even so.
 func TestWithdrawnKeyStopsWorking(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -213,7 +214,7 @@
 	}, 4*time.Second, 50*time.Millisecond)
 }
 
-// The store is away: callers are served on what is known.
+// While the store is unavailable, callers are served from the last known state.
 func TestNodeServesWithoutTheStore(t *testing.T) {
 	for name, faults := range map[string]platformtest.Faults{
 		"silent": {Silent: true}, "busy": {Refuse: http.StatusServiceUnavailable}, "turned away": {Refuse: http.StatusTooManyRequests},
@@ -235,9 +236,9 @@
 	}
 }
 
-// Operators restart a node while callers use it: no request that it read may
-// end without an answer, and new ones go elsewhere once the balancer knows.
-func TestPlannedStopBreaksNothingOff(t *testing.T) {
+// Operators restart a node while callers use it. No request that it has read may end
+// without a response, and new requests go to other nodes once the load balancer notices.
+func TestPlannedStopInterruptsNoRequest(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.start()
@@ -272,9 +273,9 @@
 	require.Greater(t, answered, 20)
 }
 
-// Settings change while the node runs: the new bounds hold, and a file that
-// can't be used changes nothing and ends nothing.
-func TestSettingsThatCannotBeUsedChangeNothing(t *testing.T) {
+// The settings file is replaced by an invalid one while the node runs. The node must
+// keep its settings and keep serving.
+func TestInvalidSettingsFileIsIgnored(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.start()
--- a/node/placement.go
+++ b/node/placement.go
@@ -11,20 +11,22 @@
 	"redwinghall/relay"
 )
 
-// placerPause is how long a zone is not asked after it gave no answer: a zone
-// that is cut off must not cost each stream the wait.
+// placerPause is how long a zone is skipped after it failed to respond, so that an
+// unreachable zone doesn't delay every stream by a timeout.
 const placerPause = time.Second
 
 // zonePlacer asks the dispatchers of zones to choose among their groups.
 type zonePlacer struct {
-	node  *Node
-	mu    sync.Mutex
-	quiet map[string]time.Time // until when another zone is not asked
+	node        *Node
+	mu          sync.Mutex
+	pausedUntil map[string]time.Time // by other zone: end of the pause
 }
 
 var _ gateway.Placer = (*zonePlacer)(nil)
 
-func newZonePlacer(n *Node) *zonePlacer { return &zonePlacer{node: n, quiet: map[string]time.Time{}} }
+func newZonePlacer(n *Node) *zonePlacer {
+	return &zonePlacer{node: n, pausedUntil: map[string]time.Time{}}
+}
 
 // Dispatched implements gateway.Placer.
 func (p *zonePlacer) Dispatched(now time.Time) bool {
@@ -36,46 +38,47 @@
 // Place implements gateway.Placer.
 func (p *zonePlacer) Place(ctx context.Context, zone string, request fleet.PlacementRequest) (fleet.Placement, bool) {
 	now := time.Now()
-	peer, ok := p.asked(now, zone)
+	peer, ok := p.target(now, zone)
 	if !ok || peer.Name == p.node.settings.Node || p.paused(now, zone) {
 		return fleet.Placement{}, false
 	}
 	request.Node = p.node.settings.Node
 	placement, err := p.node.neighbors.Reserve(ctx, peer.Address, request)
 	if err == nil {
-		p.node.avoided.Worked(peer.Name)
+		p.node.backoff.Worked(peer.Name)
 		return placement, true
 	}
-	if ctx.Err() == nil { // else the caller left
-		p.node.undispatched(time.Now(), zone, peer, err)
+	if ctx.Err() == nil { // otherwise the caller canceled the request
+		p.node.noteSilent(time.Now(), zone, peer, err)
 		p.pause(time.Now(), zone)
 	}
 	return fleet.Placement{}, false
 }
 
-// asked returns the node that chooses for a zone: its dispatcher, or the one that gathers its loads.
-func (p *zonePlacer) asked(now time.Time, zone string) (relay.Peer, bool) {
-	return p.node.avoided.First(now, p.node.peersOf(zone))
+// target returns the node that chooses for a zone: its dispatcher, or the node that collects its loads.
+func (p *zonePlacer) target(now time.Time, zone string) (relay.Peer, bool) {
+	return p.node.backoff.First(now, p.node.peersOf(zone))
 }
 
 func (p *zonePlacer) paused(now time.Time, zone string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Before(p.quiet[zone])
+	return now.Before(p.pausedUntil[zone])
 }
 
-// pause leaves another zone alone for a while. In the own zone, the next node in rank is asked.
+// pause skips another zone for placerPause. In this node's own zone, the next node in rank
+// is asked instead.
 func (p *zonePlacer) pause(now time.Time, zone string) {
 	if zone == p.node.settings.Zone {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.quiet[zone] = now.Add(placerPause)
+	p.pausedUntil[zone] = now.Add(placerPause)
 }
 
 // reserve chooses a group of this zone for another node's stream. It reports
-// false if this node knows too little to choose.
+// false if this node doesn't know the service or the model.
 func (n *Node) reserve(now time.Time, request fleet.PlacementRequest) (fleet.Placement, bool) {
 	view := n.book.View()
 	service, ok := view.Service(request.Service)
@@ -108,7 +111,7 @@
 	if none.Reason == balance.Limited {
 		placement.LimitedFor = none.RetryAfter
 	}
-	if request.Ticket > 0 { // else of another zone, which asks the others itself
+	if request.Ticket > 0 { // otherwise the request is from another zone, whose node asks the other zones itself
 		placement.Elsewhere = n.tracker.Elsewhere(now, heads, view.ZonesOut, ask)
 	}
 	return placement, true
--- a/node/reload.go
+++ b/node/reload.go
@@ -15,15 +15,15 @@
 	"redwinghall/platform"
 )
 
-// reloadInterval is how often the settings file is read again: it may change
+// reloadInterval is how often the settings file is reread, as it may change
 // without a signal.
 const reloadInterval = 3 * time.Second
 
-// inForce returns the settings in force. Addresses stay as they were at the
-// start: the listeners are open.
-func (n *Node) inForce() fleet.Settings { return *n.current.Load() }
+// currentSettings returns the settings in effect. Changes to listen addresses take no
+// effect until a restart, as the listeners are already open.
+func (n *Node) currentSettings() fleet.Settings { return *n.current.Load() }
 
-// startReload reads the settings again on SIGHUP and now and then.
+// startReload reloads the settings on SIGHUP and every reloadInterval.
 func (n *Node) startReload(g *kernel.Group) {
 	if n.path == "" {
 		return
@@ -48,7 +48,7 @@
 	})
 }
 
-// reload puts changed settings in force. A file that can't be used changes nothing.
+// reload applies changed settings. An invalid file is logged and changes nothing.
 func (n *Node) reload() {
 	if n.path == "" {
 		return
@@ -58,7 +58,7 @@
 		klog.ErrorS(err, "settings_not_reloaded", "path", n.path)
 		return
 	}
-	if reflect.DeepEqual(next, n.inForce()) {
+	if reflect.DeepEqual(next, n.currentSettings()) {
 		return
 	}
 	klog.InfoS("settings_reloaded", "path", n.path, "bounds", next.Bounds)
--- a/node/roster.go
+++ b/node/roster.go
@@ -7,14 +7,15 @@
 	"redwinghall/relay"
 )
 
-// roster is the nodes by zone, in the order in which they are to dispatch. It is
-// worked out once for each list of nodes, as each request looks at it.
+// roster holds the nodes by zone, ordered by their rank as dispatcher. It is computed
+// once for each list of nodes, as every request reads it.
 type roster struct {
-	nodes []members.Node // that it was made from
+	nodes []members.Node // the list that zones was built from
 	zones map[string][]relay.Peer
 }
 
-// rosterOf returns the roster of a list of nodes, the last one if that was made from it.
+// rosterOf returns the roster of a list of nodes. It returns last if that was built from
+// the same list.
 func rosterOf(last *roster, nodes []members.Node) *roster {
 	if last != nil && len(last.nodes) == len(nodes) && &last.nodes[0] == &nodes[0] {
 		return last
@@ -29,7 +30,7 @@
 	return next
 }
 
-// rosterCache keeps the newest roster.
+// rosterCache caches the latest roster.
 type rosterCache struct{ last atomic.Pointer[roster] }
 
 func (c *rosterCache) of(nodes []members.Node) *roster {
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -11,38 +11,40 @@
 	"redwinghall/relay"
 )
 
-// shareInterval is how often a node says how much it has at each endpoint while
-// that changes. Each node of a zone adds sharePerNode to the interval without
-// changes, as one node gathers what all say.
+// shareInterval is how often a node reports its load at each endpoint while the load
+// changes. While it doesn't change, the interval is sharePerNode times the number of
+// nodes in the zone, as a single node collects all reports.
 const (
 	shareInterval = 60 * time.Millisecond
 	sharePerNode  = 2500 * time.Microsecond
 )
 
-// hearOthers is how often a node hears of the others' loads where a dispatcher
-// chooses for it. They are for the moments in which that gives no answer.
-const hearOthers = 250 * time.Millisecond
+// othersInterval is how often a node fetches the other nodes' loads if a dispatcher chooses
+// for it. It needs them only while the dispatcher does not respond.
+const othersInterval = 250 * time.Millisecond
 
-// hearZones is how often a node hears of the other zones' loads while it looks
-// for groups there. They only say which zone to ask first; told each time, they
-// would be most of what the nodes of many zones tell each other.
-const hearZones = 250 * time.Millisecond
+// zonesInterval is how often a node fetches the other zones' loads while it looks for
+// groups there. They only determine which zone to ask first; sent with every report,
+// they would be most of the traffic between nodes in a deployment with many zones.
+const zonesInterval = 250 * time.Millisecond
 
-// sharer tells the zone's gatherer this node's loads and what endpoints told it of their
-// limits, and takes in what the others have.
+// sharer reports this node's loads, and the limits that endpoints announced to it, to the
+// node that collects the zone's loads, and receives the loads of the other nodes.
 type sharer struct {
 	node *Node
-	// When loads were told, and when those of others and of other zones were heard.
-	toldAt, heardOthers, heardZones time.Time
+	// When this node's loads were last sent, and when those of the zone's other nodes
+	// and of the other zones were last received.
+	sentAt, othersReceivedAt, zonesReceivedAt time.Time
 
-	told       map[string]balance.Load
-	toldLimits int
-	// limitsOf is the node that told all limits.
-	limitsOf string
+	sentLoads  map[string]balance.Load
+	sentLimits int
+	// limitsFrom is the node from which all limits were fetched.
+	limitsFrom string
 }
 
-// startSharing tells the zone's nodes of each other's load. The dispatcher, or the
-// first in rank where there is none, gathers it; the others ask it.
+// startSharing exchanges loads between the nodes of the zone. The dispatcher, or the
+// first node in rank if there is none, collects them; the others send it their loads and
+// fetch the rest.
 func (n *Node) startSharing(g *kernel.Group) {
 	s := &sharer{node: n}
 	g.Every("share_loads", shareInterval, s.share)
@@ -50,65 +52,66 @@
 
 func (s *sharer) share(ctx context.Context, now time.Time) {
 	n := s.node
-	// Settled first: what is settled by then is in the loads.
+	// Settled is read first, so that the loads include every settled ticket.
 	word := neighbor.Word{
 		Node: n.settings.Node, Settled: n.tracker.Tickets.Settled(), Loads: n.tracker.Own(now), Limits: n.tracker.HeardLimits(now),
 	}
 	if !s.due(now, word) {
 		return
 	}
-	s.toldAt, s.told, s.toldLimits = now, word.Loads, len(word.Limits)
-	if n.gathers(now) {
+	s.sentAt, s.sentLoads, s.sentLimits = now, word.Loads, len(word.Limits)
+	if n.collectsLoads(now) {
 		n.board.Put(now, word.Node, word.Loads)
-		n.takeBoard(now)
+		n.applyBoard(now)
 		s.learnLimits(ctx, now, word)
 		return
 	}
-	if peer, ok := n.avoided.First(now, n.peers()); ok {
-		s.ask(ctx, now, peer, word)
+	if peer, ok := n.backoff.First(now, n.peers()); ok {
+		s.exchange(ctx, now, peer, word)
 	}
 }
 
-// learnLimits asks another node for all limits if this one, which gathers, has just started.
+// learnLimits fetches all limits from another node if this node collects loads and has
+// just started.
 func (s *sharer) learnLimits(ctx context.Context, now time.Time, word neighbor.Word) {
-	if s.limitsOf != "" {
+	if s.limitsFrom != "" {
 		return
 	}
 	for _, peer := range s.node.peers() {
-		if peer.Name != s.node.settings.Node && !s.node.avoided.Has(now, peer.Name) {
-			s.ask(ctx, now, peer, word)
+		if peer.Name != s.node.settings.Node && !s.node.backoff.Has(now, peer.Name) {
+			s.exchange(ctx, now, peer, word)
 			return
 		}
 	}
 }
 
-// due reports whether a word has something new, or the last one is old.
+// due reports whether a report has changed since the last one, or the last one is too old.
 func (s *sharer) due(now time.Time, word neighbor.Word) bool {
-	return now.Sub(s.toldAt) >= time.Duration(len(s.node.peers()))*sharePerNode ||
-		!maps.Equal(s.told, word.Loads) || s.toldLimits != len(word.Limits)
+	return now.Sub(s.sentAt) >= time.Duration(len(s.node.peers()))*sharePerNode ||
+		!maps.Equal(s.sentLoads, word.Loads) || s.sentLimits != len(word.Limits)
 }
 
-// ask tells the gatherer a word and takes its answer in.
-func (s *sharer) ask(ctx context.Context, now time.Time, peer relay.Peer, word neighbor.Word) {
+// exchange sends a report to the collecting node and applies its response.
+func (s *sharer) exchange(ctx context.Context, now time.Time, peer relay.Peer, word neighbor.Word) {
 	n := s.node
 	_, dispatched := n.dispatcher(now, n.settings.Zone)
-	word.WithOthers = !dispatched || now.Sub(s.heardOthers) >= hearOthers
-	word.WithZones = n.tracker.LooksFar(now) && now.Sub(s.heardZones) >= hearZones
-	word.WithLimits = peer.Name != s.limitsOf
+	word.WithOthers = !dispatched || now.Sub(s.othersReceivedAt) >= othersInterval
+	word.WithZones = n.tracker.LooksFar(now) && now.Sub(s.zonesReceivedAt) >= zonesInterval
+	word.WithLimits = peer.Name != s.limitsFrom
 	shared, err := n.neighbors.Share(ctx, peer.Address, word)
 	if err != nil {
-		n.undispatched(time.Now(), n.settings.Zone, peer, err)
+		n.noteSilent(time.Now(), n.settings.Zone, peer, err)
 		return
 	}
-	heard := time.Now()
-	s.limitsOf = peer.Name
-	n.tracker.LearnLimits(heard, shared.Limits)
+	received := time.Now()
+	s.limitsFrom = peer.Name
+	n.tracker.LearnLimits(received, shared.Limits)
 	if word.WithOthers {
-		s.heardOthers = now
-		n.tracker.SetOthers(heard, shared.Others)
+		s.othersReceivedAt = now
+		n.tracker.SetOthers(received, shared.Others)
 	}
 	if word.WithZones {
-		s.heardZones = now
-		n.tracker.SetZones(heard, shared.Zones)
+		s.zonesReceivedAt = now
+		n.tracker.SetZones(received, shared.Zones)
 	}
 }
--- a/node/stop.go
+++ b/node/stop.go
@@ -10,21 +10,21 @@
 	"redwinghall/kernel"
 )
 
-// How a node stops within the grace that the operators give.
+// Timing of a planned stop within the configured grace period.
 const (
-	// noticeTime is how long the balancer takes to notice: it asks once a
-	// second, and two misses take a node out.
-	noticeTime = 2400 * time.Millisecond
-	// lastMargin is left of the grace for the process to end.
-	lastMargin = 400 * time.Millisecond
-	// leaveBudget bounds how long the store may take over giving the lease up;
-	// without its answer the lease ends by itself.
-	leaveBudget = time.Second
-	// stopCheck is how often a stopping node looks whether a request still runs.
-	stopCheck = 50 * time.Millisecond
+	// balancerNoticeTime is how long the load balancer takes to notice that a node is not
+	// ready: it probes once a second and removes a node after two failed probes.
+	balancerNoticeTime = 2400 * time.Millisecond
+	// exitMargin is the part of the grace period reserved for the process to exit.
+	exitMargin = 400 * time.Millisecond
+	// leaveTimeout is the timeout for releasing the lease in the store. If the release
+	// fails, the lease expires by itself.
+	leaveTimeout = time.Second
+	// stopPollInterval is how often a stopping node checks for running requests.
+	stopPollInterval = 50 * time.Millisecond
 )
 
-// plannedStop returns the stop that is under way, the zero value if there is none.
+// plannedStop returns the stop in progress, or the zero value if there is none.
 func (n *Node) plannedStop() gateway.Stop {
 	if stop := n.stopping.Load(); stop != nil {
 		return stop.At(time.Now(), kernel.BootTime())
@@ -32,46 +32,45 @@
 	return gateway.Stop{}
 }
 
-// newStop returns a stop that begins now and must be over within a grace.
+// newStop returns a stop that begins now and must complete within a grace period.
 func newStop(now, boot time.Time, grace time.Duration) gateway.Stop {
-	lasts := max(0, grace-lastMargin)
-	return gateway.Stop{Begun: now, Boot: boot, Noticed: now.Add(min(noticeTime, lasts)), End: now.Add(lasts)}
+	lasts := max(0, grace-exitMargin)
+	return gateway.Stop{Begun: now, Boot: boot, Noticed: now.Add(min(balancerNoticeTime, lasts)), End: now.Add(lasts)}
 }
 
-// stop ends a node's service without breaking a request off: it becomes not
-// ready, takes from now on only what it expects to finish, lets each answer be
-// the last on its connection, and ends once the balancer has noticed and nothing
-// runs any more.
+// stop shuts a node down gracefully. The node reports that it isn't ready, from now
+// on accepts only requests that it expects to finish, closes each connection after
+// its response, and returns once the load balancer has noticed and no request is running.
 func (n *Node) stop(ctx context.Context) {
 	begun := time.Now()
-	n.reload() // the grace counts as it stands in the file now
-	stop := newStop(begun, kernel.BootTime(), n.inForce().Bounds.Grace)
+	n.reload() // the grace period in the file may have changed
+	stop := newStop(begun, kernel.BootTime(), n.currentSettings().Bounds.Grace)
 	n.stopping.Store(&stop)
-	n.conns.endAfterAnswers()
+	n.conns.closeAfterResponses()
 	klog.InfoS("node_stopping", "node", n.settings.Node, "grace_left", stop.End.Sub(begun))
 	n.manager.Stop()
-	leave, cancel := context.WithTimeout(ctx, min(leaveBudget, time.Until(stop.End)))
+	leave, cancel := context.WithTimeout(ctx, min(leaveTimeout, time.Until(stop.End)))
 	defer cancel()
 	n.table.Leave(leave)
 	kernel.Sleep(ctx, time.Until(stop.Noticed))
-	for n.conns.working(time.Now()) && n.untilNextLook(ctx) {
+	for n.conns.active(time.Now()) && n.waitStopPoll(ctx) {
 	}
-	// Guard: a connection that is taken after the last one was seen to end would
-	// be cut with its request. So none is taken any more, and those that were
-	// taken just before have time to be served.
+	// A connection accepted after the check above would be cut off with its request.
+	// So the listener is closed first, and connections accepted just before that get
+	// time to be served.
 	if err := n.callers.Close(); err != nil {
 		klog.ErrorS(err, "listener_not_closed")
 	}
 	klog.InfoS("node_takes_no_connections", "node", n.settings.Node, "stopping_for", time.Since(begun))
-	kernel.Sleep(ctx, stopCheck)
-	// Connections that bring no request stay open until now: each close of one may
-	// cross a request that its caller then believes to be under way.
-	for !n.conns.closeUnlessWorking(time.Now()) && n.untilNextLook(ctx) {
+	kernel.Sleep(ctx, stopPollInterval)
+	// Idle connections stay open until now: closing one may race with a request on it,
+	// which its caller would then believe to be running.
+	for !n.conns.closeIfInactive(time.Now()) && n.waitStopPoll(ctx) {
 	}
-	n.conns.logCut(time.Now())
+	n.conns.logInterrupted(time.Now())
 }
 
-// untilNextLook waits a while, and reports false when the stop is over.
-func (n *Node) untilNextLook(ctx context.Context) bool {
-	return time.Now().Before(n.plannedStop().End) && kernel.Sleep(ctx, stopCheck)
+// waitStopPoll waits for stopPollInterval, and reports false when the stop is over.
+func (n *Node) waitStopPoll(ctx context.Context) bool {
+	return time.Now().Before(n.plannedStop().End) && kernel.Sleep(ctx, stopPollInterval)
 }
--- a/node/stop_answer_test.go
+++ b/node/stop_answer_test.go
@@ -12,12 +12,12 @@
 	"redwinghall/platform/platformtest"
 )
 
-// A caller's booking runs when its node is told to stop. Its answer comes whole,
-// over a second after the signal, but doesn't say that its connection ends; the
-// node closes the connection right behind it. So the caller sends its next
-// booking on it, and sees it end without an answer. Cause: whether an answer
-// is the last one is decided when its request comes, not when its headers go out.
-func TestAnswerUnderWaySaysThatItIsTheLast(t *testing.T) {
+// A booking is running when its node is told to stop. If "Connection: close" is decided
+// when the request arrives rather than when the response headers are sent, the response,
+// over a second after the signal, lacks the header although the node closes the
+// connection right after it. The caller then sends its next booking on that connection
+// and gets no response.
+func TestResponseInProgressAtStopHasConnectionClose(t *testing.T) {
 	t.Parallel()
 	d := deployWith(t, platformtest.EndpointConfig{Event: 10 * time.Millisecond, Events: answerEvents}, platformtest.EndpointConfig{Work: slowWork})
 	d.start()
@@ -37,5 +37,5 @@
 	require.NoError(t, answer.Body.Close())
 	require.NoError(t, stopping.Wait())
 	require.Equal(t, http.StatusOK, answer.StatusCode)
-	require.True(t, answer.Close, "the answer's headers went out 1 s after the signal, without Connection: close")
+	require.True(t, answer.Close, "the response headers were sent 1 s after the signal, without Connection: close")
 }
--- a/node/stop_connections_test.go
+++ b/node/stop_connections_test.go
@@ -16,11 +16,11 @@
 )
 
 // A node is told to stop while two streams run, the second for over a second longer.
-// Callers that still come, on a new connection or on one that was idle, get an
-// answer that says that its connection ends, and not a closed port or connection;
-// the first stream, whose headers went out before the signal, is followed by the
-// end of its connection, and not only by that of the node.
-func TestStopAnswersWhoStillComes(t *testing.T) {
+// Requests that still arrive, on a new connection or on an idle one, must get a response
+// with "Connection: close", not a refused or closed connection. The first stream's
+// headers were sent before the signal; its connection must be closed right after it,
+// not only when the node exits.
+func TestStopAnswersLateRequests(t *testing.T) {
 	t.Parallel()
 	d := deployWith(t, platformtest.EndpointConfig{Event: longPause, Events: longEvents}, platformtest.EndpointConfig{})
 	d.start()
@@ -41,17 +41,17 @@
 	})
 	time.Sleep(300 * time.Millisecond)
 	d.stop()
-	time.Sleep(2700 * time.Millisecond) // the balancer has noticed, both streams run
+	time.Sleep(2700 * time.Millisecond) // the load balancer has noticed, both streams are running
 	require.True(t, idle.ask("/look/x", "idle").Close)
 	require.True(t, dialCallers(d).ask("/look/x", "new").Close)
 	ended := <-firstEnded
 	first.requireEnd(ended.Add(300 * time.Millisecond))
-	require.Empty(t, d.done, "the node ended before the second stream did")
+	require.Empty(t, d.done, "the node exited before the second stream ended")
 	require.NoError(t, g.Wait())
 	require.NoError(t, <-d.done)
 }
 
-// callerConn is a caller's connection, which never sends anything by itself.
+// callerConn is a raw caller connection, which sends only the requests it is told to.
 type callerConn struct {
 	d      *deployment
 	conn   net.Conn
@@ -62,11 +62,11 @@
 	d.t.Helper()
 	conn, err := net.Dial("tcp", d.settings.Callers)
 	require.NoError(d.t, err)
-	d.t.Cleanup(func() { _ = conn.Close() }) // nothing more is expected of it
+	d.t.Cleanup(func() { _ = conn.Close() }) // it may be closed already
 	return &callerConn{d: d, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// ask sends a request and reads its answer, which must be a whole success.
+// ask sends a request and reads the response, which must be complete and successful.
 func (c *callerConn) ask(path, id string) *http.Response {
 	c.d.t.Helper()
 	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, c.d.settings.Callers, path, nil, platformtest.Ask{
@@ -83,10 +83,10 @@
 	return answer
 }
 
-// requireEnd requires that the node ends the connection in time, unasked.
+// requireEnd requires that the node closes the connection by latest, without a further request.
 func (c *callerConn) requireEnd(latest time.Time) {
 	c.d.t.Helper()
 	require.NoError(c.d.t, c.conn.SetReadDeadline(latest))
 	_, err := c.reader.ReadByte()
-	require.ErrorIs(c.d.t, err, io.EOF, "the connection stays open behind its answer")
+	require.ErrorIs(c.d.t, err, io.EOF, "the connection stays open after its response")
 }
--- a/node/stop_grace_test.go
+++ b/node/stop_grace_test.go
@@ -11,7 +11,7 @@
 	"redwinghall/platform/platformtest"
 )
 
-// withGrace writes the settings file with another grace.
+// withGrace rewrites the settings file with another grace period.
 func (d *deployment) withGrace(seconds string) {
 	d.t.Helper()
 	text := strings.Replace(d.settings.Text(), "grace_period_s=8", "grace_period_s="+seconds, 1)
@@ -19,7 +19,7 @@
 	require.NoError(d.t, os.WriteFile(d.path, []byte(text), 0o600))
 }
 
-// stopTakes stops the node and returns how long that takes.
+// stopTakes stops the node and returns how long the stop took.
 func (d *deployment) stopTakes() time.Duration {
 	d.t.Helper()
 	stopped := time.Now()
@@ -28,10 +28,9 @@
 	return time.Since(stopped)
 }
 
-// Operators give a node one second to stop, and the store doesn't answer. The
-// node waits a second for the store while it gives its lease up, whatever its
-// grace, and is killed: callers see their connections reset, and whatever still
-// runs is cut. Cause: giving the lease up isn't held against the end of the stop.
+// The grace period is one second and the store doesn't respond. If the timeout for
+// releasing the lease, also one second, ignores the end of the stop, the node overruns
+// its grace period and is killed: connections are reset and running requests are cut off.
 func TestStopEndsInAShortGraceWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -42,10 +41,9 @@
 	require.Less(t, d.stopTakes(), time.Second)
 }
 
-// Operators shorten the grace in the settings file and stop the node right
-// away. The node stops by the old grace: it takes requests for longer than it
-// has, and is killed. Cause: the file is read every few seconds and on SIGHUP,
-// but not when the stop begins, which is when the grace counts.
+// Operators shorten the grace period in the settings file and stop the node right away.
+// If the file is read only every few seconds and on SIGHUP, but not when the stop begins,
+// the node stops by the old grace period: it accepts requests for too long and is killed.
 func TestStopKeepsTheGraceOfTheSettingsFile(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -14,29 +14,29 @@
 	"redwinghall/platform/platformtest"
 )
 
-// The stream of the stop tests takes more than half of what a node has once
-// it is stopped: one that begins late in a stop can't end in time.
+// The stream of the stop tests takes more than half of the grace period, so that one
+// that begins late in a stop can't finish in time.
 const (
 	longEvents = 44
 	longPause  = 100 * time.Millisecond
 	longTokens = longEvents * 6
-	// slowWork is how long the slow booking desk works on one call.
+	// slowWork is how long the slow booking desk takes for one request.
 	slowWork = 1500 * time.Millisecond
 )
 
-// stopCaller asks over one kept connection until the node is gone.
+// stopCaller sends requests over one keep-alive connection until the node has exited.
 type stopCaller struct {
 	d      *deployment
 	name   string
 	path   string
-	pause  time.Duration // between an answer and the next request
+	pause  time.Duration // between a response and the next request
 	client *http.Client
 
 	mu   sync.Mutex
 	seen []stopAttempt
 }
 
-// stopAttempt is what a caller saw of one request.
+// stopAttempt is the result of one request as its caller saw it.
 type stopAttempt struct {
 	id     string
 	sent   time.Time
@@ -48,8 +48,8 @@
 	return &stopCaller{d: d, name: name, path: path, pause: pause, client: &http.Client{Transport: &http.Transport{}}}
 }
 
-// run asks until ctx ends. A caller that finds no node any more tries again a
-// while later, as it would at another node.
+// run sends requests until ctx ends. After a failure the caller waits briefly before
+// the next request, as it would when switching to another node.
 func (c *stopCaller) run(ctx context.Context) error {
 	defer c.client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
@@ -79,8 +79,9 @@
 	return status, body == want
 }
 
-// cutOff returns the requests that an endpoint ran and whose callers got no
-// whole answer, with the time after the signal at which they were sent.
+// cutOff returns the requests that an endpoint ran but whose callers got no complete
+// response, with the time after the signal at which they were sent, and the number of
+// requests that were served.
 func (c *stopCaller) cutOff(stopped time.Time) (cut []string, served int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,21 +96,20 @@
 	return cut, served
 }
 
-// Operators stop a node, and callers see answers that end in the middle and
-// bookings without an answer, of requests that were sent seconds after the
-// signal. Callers go on using the connections that they have, whatever the
-// balancer does with new ones; the node takes their requests up to its end,
-// however little time it has left, and cuts them when its grace is over.
-// Evidence: nearly all requests that a stop cut had come on kept connections
-// (request_while_stopping and cut_by_stop in the logs), at the same rate until
-// the node closed what was idle, and right behind an answer even after that.
-func TestStoppingNodeTakesNothingThatItCannotFinish(t *testing.T) {
+// Callers keep using their open connections during a stop, whatever the load balancer
+// does with new ones. A stopping node that accepts their requests up to its end cuts them
+// off when its grace period is over: callers see truncated streams and bookings without a
+// response, for requests sent seconds after the signal. Nearly all requests that a stop
+// cut off had come on reused connections (request_while_stopping and cut_by_stop in the
+// logs), at a constant rate until the node closed idle connections, and right after a
+// response even later.
+func TestStoppingNodeRefusesWhatItCannotFinish(t *testing.T) {
 	t.Parallel()
 	d := deployWith(t, platformtest.EndpointConfig{Event: longPause, Events: longEvents}, platformtest.EndpointConfig{Work: slowWork})
 	d.start()
 	d.waitOpen()
 	callers := startStopCallers(t, d)
-	time.Sleep(6 * time.Second) // each connection has brought a stream or two
+	time.Sleep(6 * time.Second) // each connection has carried a stream or two
 	stopped := time.Now()
 	d.stop()
 	require.NoError(t, <-d.done)
@@ -125,9 +125,9 @@
 	stop func()
 }
 
-// startStopCallers starts callers whose streams end one after the other, so
-// that at any moment of the stop one of them has just become free, and some
-// that make bookings.
+// startStopCallers starts callers whose streams end at staggered times, so that at any
+// moment of the stop one of them is about to send its next request, and some callers that
+// make bookings.
 func startStopCallers(t *testing.T, d *deployment) *stopCallers {
 	t.Helper()
 	const streams, bookings = 12, 4
