--- a/directory/book.go
+++ b/directory/book.go
@@ -9,48 +9,48 @@
 	"redwinghall/fleet"
 )
 
-// LapseGrace is how long an entry that lapsed while the store was away may
-// stay missing after the store's return before its endpoint counts as gone:
-// endpoints need a while to write again.
+// LapseGrace is how long an entry that lapsed while the store was unavailable may
+// stay missing after the store is available again before its endpoint counts as
+// gone: endpoints need some time to rewrite their entries.
 const LapseGrace = 2200 * time.Millisecond
 
-// Book gathers changes and publishes views. Its methods may be called from
-// several goroutines.
+// Book collects changes and publishes immutable views. It is safe for concurrent use.
 type Book struct {
 	mu        sync.Mutex
 	view      atomic.Pointer[View]
 	indexed   *indexedConfig
 	endpoints map[string]*fleet.Endpoint
 	lapsed    map[string]time.Time // when a missing entry counts as gone
-	out       map[string]bool
+	zonesOut  map[string]bool
 	restored  restored
-	// graceUntil is when entries that are missing count as gone at once again.
+	// graceUntil is the time from which missing entries again count as gone at once.
 	graceUntil time.Time
 	read       atomic.Pointer[fleet.Position]
-	configured chan struct{} // closed once a configuration is known
-	listed     chan struct{} // closed once the endpoints' entries were read
+	configured chan struct{} // closed once a configuration has been read
+	listed     chan struct{} // closed once the endpoints' entries have been read
 }
 
 // NewBook returns an empty book.
 func NewBook() *Book {
-	b := &Book{endpoints: map[string]*fleet.Endpoint{}, lapsed: map[string]time.Time{}, out: map[string]bool{}, restored: newRestored()}
+	b := &Book{endpoints: map[string]*fleet.Endpoint{}, lapsed: map[string]time.Time{}, zonesOut: map[string]bool{}, restored: newRestored()}
 	b.configured, b.listed = make(chan struct{}), make(chan struct{})
 	b.view.Store(&View{})
 	b.read.Store(&fleet.Position{})
 	return b
 }
 
-// View returns the newest view.
+// View returns the latest view.
 func (b *Book) View() *View { return b.view.Load() }
 
-// StoreReturned notes that the store answers again after it was away.
+// StoreReturned starts the grace for missing entries. It is called when the store responds
+// again after an outage or was restored from an older copy.
 func (b *Book) StoreReturned(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.graceUntil = now.Add(LapseGrace)
 }
 
-// NoteRead notes up to which position of the store the endpoints' entries were read.
+// NoteRead records the position of the store up to which the endpoints' entries were read.
 func (b *Book) NoteRead(at fleet.Position) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -61,28 +61,28 @@
 	b.read.Store(&next)
 }
 
-// Configured is closed once a configuration is known.
+// Configured returns a channel that is closed once a configuration has been read.
 func (b *Book) Configured() <-chan struct{} { return b.configured }
 
-// Listed is closed once the endpoints' entries were read.
+// Listed returns a channel that is closed once the endpoints' entries have been read.
 func (b *Book) Listed() <-chan struct{} { return b.listed }
 
-// Read returns up to which position of the store the endpoints' entries are known.
+// Read returns the position of the store up to which the endpoints' entries have been read.
 func (b *Book) Read() fleet.Position { return *b.read.Load() }
 
-// Change is one thing learned. Exactly one of its parts is set.
+// Change is one change read from the store. Exactly one field other than Restored is set.
 type Change struct {
 	Config   *fleet.Configuration
 	Endpoint *fleet.Endpoint
 	Gone     string // id of an endpoint whose entry is missing
 	ZoneOut  string
 	ZoneIn   string
-	// Restored says that it is what the store holds since it came back from an older
-	// copy, and may be older than what is known.
+	// Restored is set if the store was restored from an older copy, so that the change may
+	// be older than the known state.
 	Restored bool
 }
 
-// Apply takes changes in and publishes one new view.
+// Apply applies changes and publishes a single new view.
 func (b *Book) Apply(now time.Time, changes ...Change) {
 	if len(changes) == 0 {
 		return
@@ -102,8 +102,8 @@
 func (b *Book) applyOne(now time.Time, c Change) {
 	switch {
 	case c.Config != nil:
-		// Guard: an older copy read late would bring back routes and keys that
-		// were taken away. Versions only rise.
+		// Versions only increase. An older configuration that is read late must not
+		// bring back routes and keys that were removed.
 		if b.indexed == nil || c.Config.Version >= b.indexed.config.Version {
 			b.indexed = newIndexedConfig(c.Config)
 		}
@@ -115,12 +115,12 @@
 	case c.Gone != "":
 		b.remove(now, c.Gone)
 	case c.ZoneOut != "":
-		b.out[c.ZoneOut] = true
+		b.zonesOut[c.ZoneOut] = true
 		delete(b.restored.zonesIn, c.ZoneOut)
 	case c.ZoneIn != "" && c.Restored:
 		b.restored.zonesIn[c.ZoneIn] = now.Add(LapseGrace)
 	case c.ZoneIn != "":
-		delete(b.out, c.ZoneIn)
+		delete(b.zonesOut, c.ZoneIn)
 		delete(b.restored.zonesIn, c.ZoneIn)
 	}
 }
@@ -131,8 +131,7 @@
 	b.restored.forget(e.ID)
 }
 
-// remove drops an endpoint, or lets it stay for the grace that an outage of
-// the store asks for.
+// remove drops an endpoint, or keeps it until the grace after a store outage ends.
 func (b *Book) remove(now time.Time, id string) {
 	if now.Before(b.graceUntil) {
 		if _, known := b.lapsed[id]; !known {
@@ -145,15 +144,15 @@
 
 func (b *Book) drop(now time.Time, id string) {
 	if e, known := b.endpoints[id]; known {
-		b.restored.left(now, e)
+		b.restored.noteGone(now, e)
 	}
 	delete(b.endpoints, id)
 	delete(b.lapsed, id)
 	delete(b.restored.held, id)
 }
 
-// Expire drops endpoints whose entries stayed missing through their grace, and takes in what
-// a store that came back older still says when its own grace is over.
+// Expire drops endpoints whose entries are still missing at the end of their grace. It also
+// applies the held-back state of a store restored from an older copy once its grace is over.
 func (b *Book) Expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -171,7 +170,7 @@
 	for zone, at := range b.restored.zonesIn {
 		if !now.Before(at) {
 			delete(b.restored.zonesIn, zone)
-			delete(b.out, zone)
+			delete(b.zonesOut, zone)
 			changed = true
 		}
 	}
@@ -180,15 +179,15 @@
 	}
 }
 
-// Known returns the ids of all endpoints and the zones that are out, so that
-// a new list can be compared with them.
+// Known returns the IDs of all endpoints and the zones taken out of service, for
+// comparison with a new list.
 func (b *Book) Known() (ids, zonesOut []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id := range b.endpoints {
 		ids = append(ids, id)
 	}
-	for zone := range b.out {
+	for zone := range b.zonesOut {
 		zonesOut = append(zonesOut, zone)
 	}
 	return ids, zonesOut
@@ -199,8 +198,8 @@
 		indexed:   b.indexed,
 		Endpoints: make(map[string]*fleet.Endpoint, len(b.endpoints)),
 		ByService: map[string][]*fleet.Endpoint{},
-		ZonesOut:  make(map[string]bool, len(b.out)),
-		heads:     map[served][]*fleet.Endpoint{},
+		ZonesOut:  make(map[string]bool, len(b.zonesOut)),
+		heads:     map[modelKey][]*fleet.Endpoint{},
 	}
 	for id, e := range b.endpoints {
 		v.Endpoints[id] = e
@@ -212,12 +211,12 @@
 	for service, list := range v.ByService {
 		for _, e := range list {
 			if e.Serves() {
-				key := served{service, e.Model()}
+				key := modelKey{service, e.Model()}
 				v.heads[key] = append(v.heads[key], e)
 			}
 		}
 	}
-	for zone := range b.out {
+	for zone := range b.zonesOut {
 		v.ZonesOut[zone] = true
 	}
 	b.view.Store(v)
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -54,8 +54,8 @@
 	require.False(t, ok)
 }
 
-// A key that was withdrawn works again for a while: an older copy of the
-// configuration is read after a newer one. Versions only rise.
+// If an older configuration that is read after a newer one took effect, a revoked API key
+// would work again for a while. Versions only increase.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	book := directory.NewBook()
 	newer := config(5)
@@ -66,9 +66,9 @@
 	require.False(t, ok)
 }
 
-// Half of the endpoints are dropped at the end of an outage: their entries
-// lapsed while the store was away, and they write them again within 2 s. Only
-// one that is still missing then is gone.
+// Entries lapse during a store outage, and endpoints rewrite them within 2 s after it.
+// Without a grace, half of the endpoints were dropped at the end of an outage. Only an
+// endpoint that is still missing after the grace is gone.
 func TestEntriesThatLapsedInAnOutageMayComeBack(t *testing.T) {
 	book := directory.NewBook()
 	book.Apply(start, directory.Change{Endpoint: endpoint("back")}, directory.Change{Endpoint: endpoint("gone")})
@@ -80,11 +80,11 @@
 	require.Contains(t, book.View().Endpoints, "back")
 	require.NotContains(t, book.View().Endpoints, "gone")
 	book.Apply(start.Add(time.Minute), directory.Change{Gone: "back"})
-	require.Empty(t, book.View().Endpoints, "without an outage a missing entry counts at once")
+	require.Empty(t, book.View().Endpoints, "without an outage an endpoint is gone as soon as its entry is missing")
 }
 
-// script is a store that answers as told.
-type script struct {
+// fakeStore is a fake store with configurable rows and failures.
+type fakeStore struct {
 	mu      sync.Mutex
 	lists   int
 	rows    []fleet.Row
@@ -93,19 +93,19 @@
 	failure fleet.StoreKind
 }
 
-func (s *script) set(version int64, failure fleet.StoreKind, rows ...fleet.Row) {
+func (s *fakeStore) set(version int64, failure fleet.StoreKind, rows ...fleet.Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version, s.failure, s.rows = version, failure, rows
 }
 
-func (s *script) at() fleet.Position { return fleet.Position{Era: s.era, Version: s.version} }
+func (s *fakeStore) at() fleet.Position { return fleet.Position{Era: s.era, Version: s.version} }
 
-func (s *script) List(_ context.Context, table string) (fleet.Rows, error) {
+func (s *fakeStore) List(_ context.Context, table string) (fleet.Rows, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failure == fleet.StoreUnavailable {
-		return fleet.Rows{}, redwinghall.NewOpError("script.List", s.failure, nil)
+		return fleet.Rows{}, redwinghall.NewOpError("fakeStore.List", s.failure, nil)
 	}
 	if table == "servers" {
 		s.lists++
@@ -116,12 +116,12 @@
 	return fleet.Rows{Rows: s.of(table, 0), At: s.at()}, nil
 }
 
-func (s *script) Changes(ctx context.Context, table string, after fleet.Position, wait time.Duration) (fleet.Rows, error) {
+func (s *fakeStore) Changes(ctx context.Context, table string, after fleet.Position, wait time.Duration) (fleet.Rows, error) {
 	s.mu.Lock()
 	rows, at, failure := s.of(table, after.Version), s.at(), s.failure
 	s.mu.Unlock()
 	if failure != "" {
-		return fleet.Rows{}, redwinghall.NewOpError("script.Changes", failure, nil)
+		return fleet.Rows{}, redwinghall.NewOpError("fakeStore.Changes", failure, nil)
 	}
 	if len(rows) == 0 {
 		kernel.Sleep(ctx, wait)
@@ -129,7 +129,7 @@
 	return fleet.Rows{Rows: rows, At: at}, nil
 }
 
-func (s *script) of(table string, after int64) []fleet.Row {
+func (s *fakeStore) of(table string, after int64) []fleet.Row {
 	var rows []fleet.Row
 	for _, r := range s.rows {
 		if r.Table == table && r.Version > after {
@@ -139,7 +139,7 @@
 	return rows
 }
 
-func (s *script) Commit(context.Context, fleet.Txn) (fleet.Position, error) {
+func (s *fakeStore) Commit(context.Context, fleet.Txn) (fleet.Position, error) {
 	return fleet.Position{}, nil
 }
 
@@ -161,11 +161,11 @@
 	}
 }
 
-// A holder gives orders once it has read the entries up to the version of its
-// lease. Versions that were read count also where no entry changed.
-func TestFollowerTellsHowFarItRead(t *testing.T) {
+// A lease holder sends orders only after it has read the entries up to the version of
+// its lease. So the position read must advance even if no entry changed.
+func TestFollowerReportsPositionRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &script{}
+		store := &fakeStore{}
 		store.set(7, "", entry(t, "a", 5))
 		book, stop := follow(t, store)
 		defer stop()
@@ -176,15 +176,15 @@
 		require.Equal(t, fleet.Position{Version: 9}, book.Read())
 		store.set(3, fleet.StoreHistoryGone)
 		time.Sleep(4 * time.Second)
-		require.Equal(t, fleet.Position{Version: 9}, book.Read(), "an older copy takes nothing back")
+		require.Equal(t, fleet.Position{Version: 9}, book.Read(), "the position doesn't go back to that of an older copy")
 	})
 }
 
-// The store drops its history while a node is behind: what changed in between
-// can't be had. The node lists the table again, and what the list lacks is gone.
+// The store drops its change history while a node is behind, so the changes in between
+// are lost. The node must list the table again and drop the endpoints that the list lacks.
 func TestFollowerListsAgainWhenHistoryIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &script{}
+		store := &fakeStore{}
 		store.set(10, "", entry(t, "a", 3), entry(t, "b", 4))
 		book, stop := follow(t, store)
 		defer stop()
@@ -197,11 +197,11 @@
 	})
 }
 
-// While the store is away, what is known stays in force, and the node comes
-// back by itself.
-func TestFollowerServesOnWithoutTheStore(t *testing.T) {
+// While the store is unavailable the known state stays in effect, and the node resumes
+// reading by itself afterwards.
+func TestFollowerKeepsStateWithoutTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &script{}
+		store := &fakeStore{}
 		store.set(10, "", entry(t, "a", 3))
 		book, stop := follow(t, store)
 		defer stop()
@@ -212,14 +212,14 @@
 		store.set(20, "", entry(t, "d", 15))
 		time.Sleep(3 * time.Second)
 		require.Contains(t, book.View().Endpoints, "d")
-		require.Equal(t, 1, store.lists, "changes go on from the version that was read last")
+		require.Equal(t, 1, store.lists, "changes are read on from the last version, without a new list")
 	})
 }
 
-// An entry that can't be read names no endpoint, and the others hold.
+// An entry that can't be decoded is skipped, and the other entries are applied.
 func TestFollowerSkipsBadEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &script{}
+		store := &fakeStore{}
 		bad := fleet.Row{Table: "servers", Key: "bad", Value: []byte(`{"service":5}`), Version: 4}
 		store.set(10, "", entry(t, "a", 3), bad)
 		book, stop := follow(t, store)
@@ -229,10 +229,10 @@
 	})
 }
 
-// busyStore is a store in which many endpoints write all the time: an answer
-// of its feed holds at most page rows, the oldest first.
+// busyStore is a store to which many endpoints write all the time. A response with
+// changes holds at most page rows, the oldest first.
 type busyStore struct {
-	script
+	fakeStore
 	started   time.Time
 	perSecond int
 }
@@ -245,7 +245,7 @@
 
 func (s *busyStore) Changes(ctx context.Context, table string, after fleet.Position, wait time.Duration) (fleet.Rows, error) {
 	if table != "servers" {
-		return s.script.Changes(ctx, table, after, wait)
+		return s.fakeStore.Changes(ctx, table, after, wait)
 	}
 	kernel.Sleep(ctx, 5*time.Millisecond)
 	newest := min(s.newest(), after.Version+page)
@@ -257,9 +257,9 @@
 	return fleet.Rows{Rows: rows, At: fleet.Position{Version: newest}, More: len(rows) == page}, nil
 }
 
-// 3,000 endpoints write every 1.2 s. A node that reads one answer of the feed
-// at each interval falls behind by 3 s in every 4: its holder doesn't see that
-// its orders were carried out, and gives them again and again, eleven times each.
+// 3,000 endpoints write every 1.2 s. A node that read one page of changes per interval
+// fell behind by 3 s in every 4. Its lease holder didn't see that its orders were carried
+// out, and sent each of them again, eleven times.
 func TestFollowerKeepsUpWithABusyTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &busyStore{started: time.Now(), perSecond: 2500}
@@ -275,20 +275,21 @@
 	})
 }
 
-// relayed is a store whose tables another node reads for this one.
-type relayed struct{ script }
+// relayedStore is a store whose changes are relayedStore by another node.
+type relayedStore struct{ fakeStore }
 
-func (s *relayed) Changes(ctx context.Context, table string, after fleet.Position, wait time.Duration) (fleet.Rows, error) {
-	rows, err := s.script.Changes(ctx, table, after, wait)
+func (s *relayedStore) Changes(ctx context.Context, table string, after fleet.Position, wait time.Duration) (fleet.Rows, error) {
+	rows, err := s.fakeStore.Changes(ctx, table, after, wait)
 	rows.Relayed = true
 	return rows, err
 }
 
-// A group closes, and requests go there for most of a second more, because the
-// node reads on at the pace that spares the store, though it doesn't call it.
+// If a node read relayed changes at the interval that limits the load on the store,
+// requests would still be sent to a closed group for most of a second. Relayed reads
+// don't call the store, so they use a shorter interval.
 func TestFollowerReadsRelayedChangesSooner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &relayed{}
+		store := &relayedStore{}
 		store.set(10, "", entry(t, "a", 3))
 		book, stop := follow(t, store)
 		defer stop()
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -14,36 +14,37 @@
 	"redwinghall/platform"
 )
 
-// How the store is followed. Each call is costly, so a busy table is read at
+// Timing of reads from the store. Each call is costly, so a busy table is read at
 // intervals rather than at each change.
 const (
-	// feedWait bounds how long a silent connection to the store goes unseen,
-	// and so how late a configuration is in force.
+	// feedWait is the long-poll timeout. It bounds how long a dead connection to the
+	// store goes unnoticed, and so how late a configuration takes effect.
 	feedWait = 1500 * time.Millisecond
-	// operatorsInterval spaces reads of the operators' table, which is mostly quiet.
+	// operatorsInterval is the time between reads of the operators' table, which rarely changes.
 	operatorsInterval = 150 * time.Millisecond
-	// endpointsInterval spaces reads of the endpoints' table, which changes all
-	// the time. It is shorter than the notice with which endpoints leave.
+	// endpointsInterval is the time between reads of the endpoints' table, which changes
+	// all the time. It is shorter than the notice that endpoints give before they leave.
 	endpointsInterval = 800 * time.Millisecond
-	// endpointsUrgent is the interval while this node forms groups.
-	endpointsUrgent = 250 * time.Millisecond
-	// relayedInterval spaces reads from another node, which cost the store nothing.
+	// urgentEndpointsInterval is the interval while this node forms groups.
+	urgentEndpointsInterval = 250 * time.Millisecond
+	// relayedInterval is the time between reads relayed by another node, which put no load
+	// on the store.
 	relayedInterval = 150 * time.Millisecond
-	// knownWait bounds the wait for the neighbors: without the store there is
-	// nothing to wait for.
+	// knownWait bounds the wait for the list of nodes, which can't be read while the
+	// store is unavailable.
 	knownWait      = 2 * time.Second
-	firstPause     = 100 * time.Millisecond
-	longestPause   = time.Second
+	minPause       = 100 * time.Millisecond
+	maxPause       = time.Second
 	expireInterval = 200 * time.Millisecond
 )
 
-// Follower reads the store's tables and keeps a book current.
+// Follower follows the store's tables and keeps a book up to date.
 type Follower struct {
 	store fleet.Store
 	book  *Book
-	// urgent reports whether this node waits for endpoints to change.
+	// urgent reports whether this node is waiting for endpoints to change.
 	urgent func() bool
-	// known is closed once this node knows who might read the store for it.
+	// known is closed once this node knows the nodes that may read the store for it.
 	known <-chan struct{}
 }
 
@@ -55,8 +56,8 @@
 	return &Follower{store: store, book: book, urgent: urgent}
 }
 
-// WithKnown returns a follower that waits a moment for known before it reads
-// anything: a node that knows its neighbors gets there what one of them read.
+// WithKnown returns a follower that waits up to knownWait for known before its first
+// read, as a node that knows its neighbors can get the tables from one of them.
 func (f Follower) WithKnown(known <-chan struct{}) *Follower {
 	f.known = known
 	return &f
@@ -77,7 +78,7 @@
 	g.Every("expire_endpoints", expireInterval, func(_ context.Context, now time.Time) { f.book.Expire(now) })
 }
 
-// awaitKnown waits until the neighbors are known, or for knownWait.
+// awaitKnown waits until the neighbors are known, at most for knownWait.
 func (f *Follower) awaitKnown(ctx context.Context) {
 	if f.known == nil {
 		return
@@ -92,7 +93,7 @@
 
 func (f *Follower) endpointsInterval() time.Duration {
 	if f.urgent() {
-		return endpointsUrgent
+		return urgentEndpointsInterval
 	}
 	return endpointsInterval
 }
@@ -101,20 +102,20 @@
 type feed struct {
 	table    string
 	decode   func(row fleet.Row, now time.Time) (Change, bool)
-	missing  func(rows []fleet.Row) []Change // what a new list no longer holds
+	missing  func(rows []fleet.Row) []Change // changes for what a new list lacks
 	interval func() time.Duration
 
 	at fleet.Position
-	// restoredUntil is until when a list may be older than what is known.
+	// restoredUntil is the time until which a list may be older than the known state.
 	restoredUntil time.Time
 
-	listed bool
-	away   bool // the last call failed
-	pause  time.Duration
+	listed  bool
+	failing bool // the last call failed
+	pause   time.Duration
 }
 
-// follow reads a table until ctx ends. While the store is away, what is known
-// stays in force.
+// follow reads a table until ctx ends. While the store is unavailable, the known
+// state stays in effect.
 func (f *Follower) follow(ctx context.Context, feed *feed) error {
 	for ctx.Err() == nil {
 		started := time.Now()
@@ -129,9 +130,9 @@
 		case rows.Relayed:
 			wait = relayedInterval - time.Since(started)
 		case rows.More:
-			// Guard: an answer holds a bounded number of changes. With thousands of
-			// endpoints, one answer an interval falls behind more and more, and the
-			// node that forms groups gives the same orders again and again.
+			// A response holds a bounded number of changes. With thousands of endpoints,
+			// reading one response per interval falls further and further behind, and the
+			// node that forms groups sends the same orders again and again.
 			wait = 0
 		}
 		if wait > 0 && !kernel.Sleep(ctx, wait) {
@@ -141,22 +142,22 @@
 	return nil
 }
 
-// failed notes a failed call and returns how long to wait before the next.
+// failed records a failed call and returns how long to wait before the next one.
 func (f *Follower) failed(feed *feed, err error) time.Duration {
 	if redwinghall.KindOf[fleet.StoreKind](err) == fleet.StoreHistoryGone {
 		klog.InfoS("store_history_gone", "table", feed.table, "era", feed.at.Era, "after", feed.at.Version)
 		feed.listed = false
-		return firstPause // a store that forgets again and again must not be called without a pause
+		return minPause // a store that keeps dropping its history must not be called without a pause
 	}
-	if !feed.away {
+	if !feed.failing {
 		klog.InfoS("store_lost", "table", feed.table, "era", feed.at.Era, "version", feed.at.Version, "err", err)
 	}
-	feed.away = true
-	feed.pause = min(max(2*feed.pause, firstPause), longestPause)
+	feed.failing = true
+	feed.pause = min(max(2*feed.pause, minPause), maxPause)
 	return feed.pause/2 + rand.N(feed.pause/2+1)
 }
 
-// step reads a table once and takes in what came.
+// step reads a table once and applies the changes.
 func (f *Follower) step(ctx context.Context, feed *feed) (fleet.Rows, error) {
 	rows, err := f.read(ctx, feed)
 	if err != nil {
@@ -174,24 +175,24 @@
 	return rows, nil
 }
 
-// answered notes that the store answered, and reports whether it has returned: after it was
-// away, or from an older copy.
+// answered records a response of the store. It reports whether the store was unavailable
+// before, or has been restored from an older copy.
 func (f *feed) answered(now time.Time, at fleet.Position) bool {
-	wentBack := !f.at.IsZero() && at.Era > f.at.Era
-	if wentBack {
+	wasRestored := !f.at.IsZero() && at.Era > f.at.Era
+	if wasRestored {
 		klog.InfoS("store_era", "table", f.table, "era", at.Era, "before", f.at.Era, "version", at.Version, "version_before", f.at.Version)
 		f.restoredUntil = now.Add(RestoredGrace)
 	}
-	wasAway := f.away
-	if wasAway {
+	wasFailing := f.failing
+	if wasFailing {
 		klog.InfoS("store_regained", "table", f.table, "version", at.Version)
-		f.away, f.pause = false, 0
+		f.failing, f.pause = false, 0
 	}
-	return wentBack || wasAway
+	return wasRestored || wasFailing
 }
 
-// changes returns what an answer says. A list also tells what is missing, and is as old as
-// the store's copy.
+// changes returns the changes in a response. A list also yields changes for what it lacks,
+// and may be as old as the copy from which the store was restored.
 func (f *feed) changes(now time.Time, rows fleet.Rows) []Change {
 	var changes []Change
 	if !f.listed {
@@ -226,8 +227,8 @@
 }
 
 var (
-	errEarlierEra = errors.New("the list is of an earlier era of the store")
-	errOtherEra   = errors.New("the changes are of another era of the store")
+	errEarlierEra = errors.New("list is of an earlier era of the store")
+	errOtherEra   = errors.New("changes are of another era of the store")
 )
 
 func (f *Follower) decodeOperators(row fleet.Row, _ time.Time) (Change, bool) {
@@ -263,7 +264,7 @@
 	return Change{Endpoint: endpoint}, true
 }
 
-// missingEndpoints returns the endpoints that a new list lacks.
+// missingEndpoints returns changes for the known endpoints that a new list lacks.
 func (f *Follower) missingEndpoints(rows []fleet.Row) []Change {
 	ids, _ := f.book.Known()
 	var changes []Change
@@ -273,7 +274,7 @@
 	return changes
 }
 
-// missingOperators returns the zones that a new list no longer takes out.
+// missingOperators returns changes for the zones that a new list no longer takes out.
 func (f *Follower) missingOperators(rows []fleet.Row) []Change {
 	_, zones := f.book.Known()
 	var changes []Change
@@ -283,7 +284,7 @@
 	return changes
 }
 
-// missingNames returns the names that no row stands for.
+// missingNames returns the names that no row has.
 func missingNames(names []string, rows []fleet.Row, name func(fleet.Row) string) []string {
 	listed := make(map[string]bool, len(rows))
 	for _, row := range rows {
--- a/directory/restored.go
+++ b/directory/restored.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	// RestoredGrace is how long an entry stays aside that a store which came back older
-	// holds of an endpoint that has left: by then its silence has removed it, unless the
-	// endpoint lives and has written again.
+	// RestoredGrace is how long the entry of an endpoint that had left is held back after the
+	// store was restored from an older copy. By then the entry has expired, unless the
+	// endpoint is alive and has written it again.
 	RestoredGrace = 4500 * time.Millisecond
-	// rememberLeft is how long endpoints that left are remembered, longer than a copy is old.
-	rememberLeft = time.Minute
+	// goneRetention is how long endpoints that left are remembered. It is longer than the age
+	// of any copy.
+	goneRetention = time.Minute
 )
 
-// restored holds what a store that came back from an older copy says against what is known.
+// restored reconciles the entries of a store that was restored from an older copy with the
+// known state.
 //
-// Guard: what the store acknowledged before must not come undone because a copy is older. An
-// endpoint that leaves would be ready again, one that is gone would get requests, and a
-// zone that was taken out would be back, until each is written again.
+// State that the store acknowledged must not be undone by an older copy. Otherwise a draining
+// endpoint would be ready again, an endpoint that is gone would get requests, and a zone that
+// was taken out would be back, until each is written again.
 type restored struct {
-	gone    map[string]leftEndpoint
+	gone    map[string]goneEndpoint
 	held    map[string]heldEndpoint
-	zonesIn map[string]time.Time // when zones count as back that the copy doesn't take out
+	zonesIn map[string]time.Time // when zones that the copy doesn't take out count as back
 }
 
-type leftEndpoint struct {
+type goneEndpoint struct {
 	born int64
 	at   time.Time
 }
@@ -39,11 +41,11 @@
 }
 
 func newRestored() restored {
-	return restored{gone: map[string]leftEndpoint{}, held: map[string]heldEndpoint{}, zonesIn: map[string]time.Time{}}
+	return restored{gone: map[string]goneEndpoint{}, held: map[string]heldEndpoint{}, zonesIn: map[string]time.Time{}}
 }
 
-// keeps reports whether what is known of an endpoint stays in force against a restored entry.
-// known is nil if the endpoint isn't.
+// keeps reports whether the known state of an endpoint takes precedence over a restored
+// entry. known is nil for an unknown endpoint.
 func (r *restored) keeps(now time.Time, known, entry *fleet.Endpoint) bool {
 	if known != nil {
 		older := entry.Born < known.Born || (entry.Born == known.Born && entry.Sequence < known.Sequence)
@@ -64,9 +66,9 @@
 	return true
 }
 
-// left notes that an endpoint is gone.
-func (r *restored) left(now time.Time, e *fleet.Endpoint) {
-	r.gone[e.ID] = leftEndpoint{born: e.Born, at: now}
+// noteGone records that an endpoint is gone.
+func (r *restored) noteGone(now time.Time, e *fleet.Endpoint) {
+	r.gone[e.ID] = goneEndpoint{born: e.Born, at: now}
 }
 
 func (r *restored) forget(id string) {
@@ -74,11 +76,11 @@
 	delete(r.held, id)
 }
 
-// due returns the endpoints whose entries outlasted their grace, and forgets those that left
-// long ago.
+// due returns the held-back endpoints whose grace is over, and forgets endpoints that left
+// longer than goneRetention ago.
 func (r *restored) due(now time.Time) []*fleet.Endpoint {
 	for id, left := range r.gone {
-		if now.Sub(left.at) > rememberLeft {
+		if now.Sub(left.at) > goneRetention {
 			delete(r.gone, id)
 		}
 	}
--- a/directory/view.go
+++ b/directory/view.go
@@ -1,6 +1,6 @@
-// Package directory keeps what a node knows of its deployment: the
-// configuration in force, the endpoints and the zones taken out. Readers get
-// an immutable view by one atomic load.
+// Package directory keeps a node's view of its deployment: the current
+// configuration, the endpoints, and the zones taken out of service. Readers get
+// an immutable view with a single atomic load.
 package directory
 
 import (
@@ -10,29 +10,29 @@
 	"redwinghall/fleet"
 )
 
-// View is everything known at one moment. It is immutable.
+// View is an immutable snapshot of the known state.
 type View struct {
 	indexed *indexedConfig
-	// Endpoints by id, ByService in the order of their ids.
+	// Endpoints is keyed by ID. The endpoints of each service in ByService are sorted by ID.
 	Endpoints map[string]*fleet.Endpoint
 	ByService map[string][]*fleet.Endpoint
 	ZonesOut  map[string]bool
-	// heads are the endpoints that serve a model, by service and model.
-	heads map[served][]*fleet.Endpoint
+	// heads holds the heads of open groups, by service and model.
+	heads map[modelKey][]*fleet.Endpoint
 }
 
-// served is a model as one service serves it.
-type served struct{ service, model string }
+// modelKey identifies a model of a service.
+type modelKey struct{ service, model string }
 
-// Heads returns the heads of the open groups of a service that serve a model.
+// Heads returns the heads of a service's open groups that serve a model.
 func (v *View) Heads(service, model string) []*fleet.Endpoint {
-	return v.heads[served{service, model}]
+	return v.heads[modelKey{service, model}]
 }
 
-// indexedConfig is the configuration with its indexes, built once for each version.
+// indexedConfig is a configuration with lookup indexes, built once for each version.
 type indexedConfig struct {
 	config *fleet.Configuration
-	byHost map[string][]*fleet.Route // the longest prefix first
+	byHost map[string][]*fleet.Route // longest prefix first
 	byKey  map[string]*fleet.Account
 }
 
@@ -53,7 +53,7 @@
 	return indexed
 }
 
-// Config returns the configuration, or nil before one is known.
+// Config returns the configuration, or nil if none has been read yet.
 func (v *View) Config() *fleet.Configuration {
 	if v.indexed == nil {
 		return nil
@@ -61,8 +61,8 @@
 	return v.indexed.config
 }
 
-// Route returns the route of a request: of its host's routes the one with the
-// longest prefix that begins the path.
+// Route returns the route of a request: the route of its host with the longest
+// prefix of the path.
 func (v *View) Route(host, path string) (*fleet.Route, bool) {
 	if v.indexed == nil {
 		return nil, false
@@ -85,7 +85,8 @@
 	return account, ok
 }
 
-// AsksForKey reports whether the configuration knows client accounts at all.
+// RequiresKey reports whether requests need an API key, which is the case if the
+// configuration has any client accounts.
 func (v *View) AsksForKey() bool { return v.indexed != nil && len(v.indexed.config.Accounts) > 0 }
 
 // Service returns a service of the configuration.
