--- a/members/era_test.go
+++ b/members/era_test.go
@@ -13,7 +13,7 @@
 	"redwinghall/fleet"
 )
 
-// storeCopy is what a store held at one moment.
+// storeCopy is a copy of a store's content.
 type storeCopy struct {
 	version int64
 	rows    map[string]fleet.Row
@@ -25,16 +25,17 @@
 	return storeCopy{version: s.version, rows: maps.Clone(s.rows)}
 }
 
-// goBack lets the store come back from a copy. Versions are given out again.
-func (s *store) goBack(from storeCopy) {
+// restore restores the store from a copy, so that it assigns the same versions again.
+func (s *store) restore(from storeCopy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version, s.rows = from.version, maps.Clone(from.rows)
 	s.era++
 }
 
-// The store comes back with the row of a holder that has lost the lease since. It takes its
-// own lease back at once, beside the one that had it: a VM is told to join two groups.
+// The store is restored with the lease row of a node that has lost the lease since. If that
+// node took its own lease back at once, beside the current holder, a VM would be ordered to
+// join two groups.
 func TestRestoredLeaseIsNotTakenBesideItsHolder(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(10 * time.Second)
@@ -44,14 +45,15 @@
 	f.run(7 * time.Second)
 	require.NotEqual(t, old, f.holders("a")[0])
 	f.store.down[old] = false
-	f.store.goBack(kept)
-	f.run(10 * time.Second) // at each moment there is one holder at most
+	f.store.restore(kept)
+	f.run(10 * time.Second) // run checks that there is at most one holder at any time
 	require.Len(t, f.holders("a"), 1)
 }
 
-// The store comes back without a holder's lease, which was given up in its copy. A node that
-// has just started takes it while the holder goes by what is gone.
-func TestLeaseThatTheCopyLacksIsNotTakenBesideItsHolder(t *testing.T) {
+// The store is restored from a copy in which the lease had been released and not yet taken
+// by its current holder. A node that has just started must not take it while the holder
+// still relies on the lost row.
+func TestLeaseMissingFromTheCopyIsNotTakenBesideItsHolder(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(10 * time.Second)
 	old := f.holders("a")[0]
@@ -60,15 +62,15 @@
 	kept := f.store.copy()
 	f.run(5 * time.Second)
 	require.Len(t, f.holders("a"), 1)
-	f.store.goBack(kept)
+	f.store.restore(kept)
 	f.start("a0", "a")
 	f.run(10 * time.Second)
 	require.Len(t, f.holders("a"), 1)
 }
 
-// Nodes are killed, start again and lose the store, and it comes back from copies some
-// seconds old, in any order.
-func TestOneHolderThroughReturnsOfTheStore(t *testing.T) {
+// Nodes are killed, restart and lose their connection to the store, and the store is restored
+// from copies some seconds old, in random order. There must be at most one holder at any time.
+func TestOneHolderThroughStoreRestores(t *testing.T) {
 	for seed := range uint64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 3))
@@ -87,7 +89,7 @@
 					f.start(name, "a")
 				case 2:
 					if len(copies) > 0 {
-						f.store.goBack(copies[0])
+						f.store.restore(copies[0])
 						copies = nil
 					}
 				default:
@@ -102,16 +104,17 @@
 	}
 }
 
-// The store comes back without the row of a node that started since. The others count it on,
-// and it writes its row again at once, and not when that is due.
-func TestNodeThatTheCopyLacksIsCountedOn(t *testing.T) {
+// The store is restored from a copy without the row of a node that started later. The others
+// must keep counting the node, and it must write its row again at once rather than when its
+// next announcement is due.
+func TestNodeMissingFromTheCopyStillCounts(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(10 * time.Second)
 	kept := f.store.copy()
 	f.start("a3", "a")
 	f.run(11 * time.Second) // its next announcement is due seconds later
 	require.Len(t, f.nodes["a1"].Nodes(), 3)
-	f.store.goBack(kept)
+	f.store.restore(kept)
 	written := 0
 	for step := range 80 {
 		f.run(100 * time.Millisecond)
@@ -121,21 +124,22 @@
 		}
 	}
 	require.Positive(t, written)
-	require.Less(t, written, 25, "within an interval of reading, in steps of 0.1 s")
+	require.Less(t, written, 25, "within one read interval, in steps of 0.1 s")
 	f.dead["a3"] = true
 	f.run(time.Minute)
 	require.Len(t, f.nodes["a1"].Nodes(), 2)
 }
 
-// Holders form groups by entries that are older than what endpoints had written, unless they
-// wait until these have written again. Who starts later doesn't wait.
+// After the store is restored from an older copy, holders must wait until the endpoints have
+// written their entries again, as they would form groups from outdated entries otherwise. A
+// node that starts later learns from the holder's record that the wait is over.
 func TestEraIsSettledAfterEntriesWereWrittenAgain(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(10 * time.Second)
 	require.True(t, f.nodes["a1"].Settled(0))
 	kept := f.store.copy()
 	f.run(2 * time.Second)
-	f.store.goBack(kept)
+	f.store.restore(kept)
 	f.start("a3", "a")
 	f.run(4 * time.Second)
 	for name, node := range f.nodes {
@@ -147,5 +151,5 @@
 	}
 	f.start("a4", "a")
 	f.run(500 * time.Millisecond)
-	require.True(t, f.nodes["a4"].Settled(1), "the holder's record says so")
+	require.True(t, f.nodes["a4"].Settled(1), "settled according to the holder's record")
 }
--- a/members/leases.go
+++ b/members/leases.go
@@ -12,7 +12,7 @@
 	"redwinghall/lease"
 )
 
-// stepLease takes or renews a zone's lease if that is due, and reports whether
+// stepLease takes, renews or releases a zone's lease if that is due, and reports whether
 // it called the store.
 func (t *Table) stepLease(ctx context.Context, zone string, boot time.Time) bool {
 	state := t.leases[zone]
@@ -23,24 +23,25 @@
 		return true
 	}
 	if action != lease.Take {
-		delete(t.takeable, zone)
+		delete(t.freeSince, zone)
 	}
 	switch {
 	case action == lease.Wait, action == lease.Take && !t.isTurn(zone, boot):
 		return false
-	case action == lease.Take && !t.listedAt.After(t.unwritten[zone]):
-		// Guard: while the store is away all leases seem free, and each node of a
-		// zone would try to take one again and again. First the table must be read.
+	case action == lease.Take && !t.listedAt.After(t.writeFailedAt[zone]):
+		// While the store is unavailable all leases seem free, and each node of a zone
+		// would try to take one again and again. After a failed write the table must be
+		// read before the next attempt.
 		return false
-	case boot.Sub(t.renewed[zone]) < renewInterval:
+	case boot.Sub(t.renewTriedAt[zone]) < renewInterval:
 		return false
 	}
-	t.renewed[zone] = boot
+	t.renewTriedAt[zone] = boot
 	t.write(ctx, zone, action, boot)
 	return true
 }
 
-// hasLiveNode reports whether a node of a zone announced itself lately.
+// hasLiveNode reports whether any node of a zone has announced itself recently.
 func (t *Table) hasLiveNode(zone string, boot time.Time) bool {
 	for _, s := range t.seen {
 		if s.node.Zone == zone && boot.Sub(s.since) < t.announceEvery()+listInterval {
@@ -50,7 +51,7 @@
 	return false
 }
 
-// release gives a lease up, so that the zone's own nodes need not wait for its end.
+// release releases a lease, so that the zone's own nodes need not wait until it expires.
 func (t *Table) release(ctx context.Context, zone string, boot time.Time) {
 	txn, next := t.leases[zone].Release(zone, fmt.Sprintf("%s-leave-%d", t.config.Self.Name, boot.UnixNano()))
 	t.leases[zone] = next
@@ -63,24 +64,24 @@
 	t.listTriedAt = time.Time{}
 }
 
-// write takes or renews a lease. The lease counts from the sending.
+// write takes or renews a lease. The lease duration starts when the request is sent.
 func (t *Table) write(ctx context.Context, zone string, action lease.Action, boot time.Time) {
 	state := t.leases[zone]
 	nonce := fmt.Sprintf("%s-%d", t.config.Self.Name, boot.UnixNano())
 	txn, record := state.Txn(zone, action, nonce)
 	at, err := t.store.Commit(ctx, storeTxn(txn))
 	if err != nil {
-		// A conflict, a lost answer: the next list tells who holds it.
+		// After a conflict or a lost response, the next list shows who holds the lease.
 		klog.InfoS("lease_unwritten", "zone", zone, "err", err)
-		t.unwritten[zone] = t.config.Now()
+		t.writeFailedAt[zone] = t.config.Now()
 		t.listTriedAt = time.Time{}
 		return
 	}
 	t.notePosition(at)
 	if at.Era != state.Era() {
-		// The versions that the transaction asked for are of rows that are gone.
+		// The versions that the transaction expected belong to rows that no longer exist.
 		klog.InfoS("lease_of_another_era", "zone", zone, "era", at.Era, "read_in", state.Era())
-		t.unwritten[zone] = t.config.Now()
+		t.writeFailedAt[zone] = t.config.Now()
 		t.listTriedAt = time.Time{}
 		return
 	}
@@ -101,7 +102,7 @@
 	t.publishHeld()
 }
 
-// storeTxn turns a lease's transaction into one of the store.
+// storeTxn converts a lease transaction to a store transaction.
 func storeTxn(txn redwinghall.Txn) fleet.Txn {
 	var out fleet.Txn
 	for _, w := range txn.Writes {
--- a/members/members.go
+++ b/members/members.go
@@ -1,5 +1,5 @@
-// Package members tells nodes of each other through a table of the store, and
-// holds the leases of availability zones there.
+// Package members maintains the cluster membership in a table of the store, and
+// the leases of availability zones in the same table.
 package members
 
 import (
@@ -17,37 +17,37 @@
 	"redwinghall/relay"
 )
 
-// Times of the table. Calls to the store are costly, so they are few.
+// Intervals and timeouts. Calls to the store are costly, so they are infrequent.
 const (
 	// listInterval is how often a node reads the table.
 	listInterval = 2 * time.Second
 	// renewInterval is how often a holder renews its lease.
 	renewInterval = 1200 * time.Millisecond
-	// leaseDuration is how long a lease lasts without a renewal, leaseMargin
-	// how much earlier its holder stops. A holder may miss two renewals.
+	// leaseDuration is how long a lease lasts without a renewal, and leaseMargin how
+	// much earlier its holder stops using it. A holder may miss two renewals.
 	leaseDuration = 3500 * time.Millisecond
 	leaseMargin   = 700 * time.Millisecond
-	// foreignDelay is how much longer a node waits before it takes the lease of
-	// a zone that is not its own: the zone's own nodes go first, and a zone that
-	// is cut off for a while is better left as it is.
-	foreignDelay = 15 * time.Second
-	// announceInterval is how often a node writes its row, and goneAfter how
-	// long an unchanged row still counts.
+	// otherZoneDelay is how long the lease of another zone must be free before a node
+	// takes it: the zone's own nodes go first, and a zone that is unreachable for a
+	// short time is better left as it is.
+	otherZoneDelay = 15 * time.Second
+	// announceInterval is how often a node writes its row, and memberTimeout is how long
+	// a node with an unchanged row counts as alive.
 	announceInterval = 5 * time.Second
-	goneAfter        = 13 * time.Second
-	// announcePerNode stretches both where there are many nodes: it is the least
-	// time between two announcements of any nodes, on average.
+	memberTimeout    = 13 * time.Second
+	// announcePerNode lengthens both if there are many nodes: it is the least average
+	// time between two announcements of any nodes.
 	announcePerNode = 200 * time.Millisecond
-	// returnGrace is how long nodes that the store lacks since it came back older have to
-	// write their rows again: an interval of reading, and what a busy node takes.
-	returnGrace = 5 * time.Second
-	// gatherTime is how long nodes that all start for the first time give each other
-	// to write their rows, before any reads the table.
-	gatherTime = 1200 * time.Millisecond
-	// takeStagger is how much later each next node of a zone takes a lease that
-	// is free, so that they don't all try at once.
-	takeStagger = 150 * time.Millisecond
-	tick        = 100 * time.Millisecond
+	// restoreGrace is how long nodes that are missing since the store was restored from an
+	// older copy have to write their rows again: a read interval, and the delay of a busy node.
+	restoreGrace = 5 * time.Second
+	// firstStartDelay is how long a node waits at the first start of a deployment between writing
+	// its row and reading the table, so that the other nodes can write theirs.
+	firstStartDelay = 1200 * time.Millisecond
+	// takeStagger is the delay per rank before a node of a zone takes a free lease, so that
+	// the nodes don't all try at once.
+	takeStagger  = 150 * time.Millisecond
+	stepInterval = 100 * time.Millisecond
 )
 
 const (
@@ -55,24 +55,25 @@
 	nodePrefix = "node/"
 )
 
-// Config tells a node who it is.
+// Config configures a Table.
 type Config struct {
 	Self  Node
 	Zones []string
-	// FirstStart says that the whole deployment starts for the first time.
+	// FirstStart is set if the whole deployment starts for the first time.
 	FirstStart bool
-	// Now returns the boot time, also while a call was under way.
+	// Now returns the current boot time. It is called again after store calls.
 	Now func() time.Time
 }
 
-// tenure is a lease that this node has: until when, and since which position of
-// the store.
-type tenure struct {
+// heldLease is a lease held by this node: when it ends, and the position of the store
+// at which it was taken.
+type heldLease struct {
 	until time.Time
 	from  fleet.Position
 }
 
-// Table is this node's part of the members' table.
+// Table is this node's view of the members' table. It announces the node and takes,
+// renews and releases zone leases.
 type Table struct {
 	config Config
 	store  fleet.Store
@@ -86,29 +87,29 @@
 	listTriedAt time.Time
 	announcedAt time.Time // when this node's row was written
 	listedAt    time.Time // when the table was last read
-	listedEra   int64     // of the store, then
-	// returnedAt is when this node saw that the store had come back from an older copy.
-	returnedAt time.Time
-	eraSince   time.Time // when this node first read the table in its era
-	// settled is the newest era that is.
-	settled atomic.Int64
-	renewed map[string]time.Time
-	// unwritten is when this node last failed to write a zone's lease.
-	unwritten map[string]time.Time
-	takeable  map[string]time.Time // since when a zone's lease could be taken
-	stopped   bool
+	listedEra   int64     // era of the store at the last read
+	// restoredAt is when this node noticed that the store was restored from an older copy.
+	restoredAt time.Time
+	eraSince   time.Time // when this node first read the table in listedEra
+	// settled is the newest era that is settled.
+	settled      atomic.Int64
+	renewTriedAt map[string]time.Time
+	// writeFailedAt is when this node last failed to write a lease, by zone.
+	writeFailedAt map[string]time.Time
+	freeSince     map[string]time.Time // when this node first saw a zone's lease free
+	stopped       bool
 	// at is the newest position of the store that this node knows.
 	at atomic.Pointer[fleet.Position]
-	// held are the zones whose lease this node has.
-	held    atomic.Pointer[map[string]tenure]
-	holders atomic.Pointer[map[string]string] // names, by zone
+	// held holds the leases of this node, by zone.
+	held    atomic.Pointer[map[string]heldLease]
+	holders atomic.Pointer[map[string]string] // names of the lease holders, by zone
 }
 
-// NewTable returns a table that knows nothing yet.
+// NewTable returns a table that knows only this node.
 func NewTable(config Config, store fleet.Store) *Table {
 	t := &Table{
-		config: config, store: store, leases: map[string]lease.State{}, seen: map[string]seenNode{}, renewed: map[string]time.Time{},
-		takeable: map[string]time.Time{}, unwritten: map[string]time.Time{}, known: make(chan struct{}),
+		config: config, store: store, leases: map[string]lease.State{}, seen: map[string]seenNode{}, renewTriedAt: map[string]time.Time{},
+		freeSince: map[string]time.Time{}, writeFailedAt: map[string]time.Time{}, known: make(chan struct{}),
 	}
 	for _, zone := range config.Zones {
 		t.leases[zone] = lease.NewState(lease.Config{
@@ -117,12 +118,13 @@
 	}
 	t.nodes.Store(&[]Node{config.Self})
 	t.at.Store(&fleet.Position{})
-	t.held.Store(&map[string]tenure{})
+	t.held.Store(&map[string]heldLease{})
 	t.holders.Store(&map[string]string{})
 	return t
 }
 
-// Holds reports whether this node may form groups in a zone at a boot time.
+// Holds reports whether this node holds a zone's lease at a boot time, and so may form
+// groups in the zone.
 func (t *Table) Holds(zone string, boot time.Time) bool {
 	held, ok := (*t.held.Load())[zone]
 	return ok && boot.Before(held.until)
@@ -131,7 +133,7 @@
 // HeldFrom returns the position of the store at which this node took a zone's lease.
 func (t *Table) HeldFrom(zone string) fleet.Position { return (*t.held.Load())[zone].from }
 
-// Holder returns the node that holds a zone's lease, as far as known.
+// Holder returns the node that holds a zone's lease, if it is known.
 func (t *Table) Holder(zone string) (Node, bool) {
 	name := (*t.holders.Load())[zone]
 	for _, node := range t.Nodes() {
@@ -145,25 +147,25 @@
 // Position returns the newest position of the store that this node has seen.
 func (t *Table) Position() fleet.Position { return *t.at.Load() }
 
-// notePosition notes a position of the store that was seen. The lock is held.
+// notePosition records a position of the store. The caller holds t.mu.
 func (t *Table) notePosition(at fleet.Position) {
 	next := t.Position().Later(at)
 	t.at.Store(&next)
 }
 
-// Known is closed once this node has read who its neighbors are.
+// Known returns a channel that is closed once this node has read the list of nodes.
 func (t *Table) Known() <-chan struct{} { return t.known }
 
-// Start keeps the table until the group stops.
+// Start maintains the table until the group stops.
 func (t *Table) Start(g *kernel.Group) {
 	g.Go("members_first", func(ctx context.Context) error {
 		t.Step(ctx, t.config.Now())
 		return nil
 	})
-	g.Every("members", tick, func(ctx context.Context, _ time.Time) { t.Step(ctx, t.config.Now()) })
+	g.Every("members", stepInterval, func(ctx context.Context, _ time.Time) { t.Step(ctx, t.config.Now()) })
 }
 
-// Step does what is due at a boot time, one call to the store at most.
+// Step performs the work that is due at a boot time, with at most one call to the store.
 func (t *Table) Step(ctx context.Context, boot time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -233,17 +235,17 @@
 	}
 }
 
-// isTurn reports whether it is this node's turn to take a lease that has
-// been free for some time.
+// isTurn reports whether a free lease has been free long enough for a node of this
+// node's rank to take it.
 func (t *Table) isTurn(zone string, boot time.Time) bool {
-	since, ok := t.takeable[zone]
+	since, ok := t.freeSince[zone]
 	if !ok {
 		since = boot
-		t.takeable[zone] = boot
+		t.freeSince[zone] = boot
 	}
 	if zone != t.config.Self.Zone {
-		// The zone's own nodes go first, also when its holder gave the lease up.
-		return boot.Sub(since) >= foreignDelay
+		// The zone's own nodes go first, even if the holder released the lease.
+		return boot.Sub(since) >= otherZoneDelay
 	}
 	rank := 0
 	for _, node := range *t.nodes.Load() {
@@ -256,23 +258,23 @@
 
 func (t *Table) publishHeld() {
 	if t.stopped {
-		t.held.Store(&map[string]tenure{})
+		t.held.Store(&map[string]heldLease{})
 		return
 	}
-	held, holders := map[string]tenure{}, map[string]string{}
+	held, holders := map[string]heldLease{}, map[string]string{}
 	for zone, state := range t.leases {
 		holders[zone] = state.Holder()
 		if state.Holder() == t.config.Self.Name && !state.HeldUntil().IsZero() {
-			// The fence changes only when a lease is taken.
-			held[zone] = tenure{until: state.HeldUntil(), from: fleet.Position{Era: state.Era(), Version: state.FenceVersion()}}
+			// The fence row changes only when a lease is taken.
+			held[zone] = heldLease{until: state.HeldUntil(), from: fleet.Position{Era: state.Era(), Version: state.FenceVersion()}}
 		}
 	}
 	t.held.Store(&held)
 	t.holders.Store(&holders)
 }
 
-// Leave gives up the leases and takes this node's row away, so that others
-// need not wait for their end. The node must have stopped forming groups.
+// Leave releases the leases and deletes this node's row, so that other nodes need
+// not wait until they expire. The node must have stopped forming groups.
 func (t *Table) Leave(ctx context.Context) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -14,19 +14,19 @@
 	"redwinghall/members"
 )
 
-// store keeps rows in memory, with versions as the platform counts them.
+// store is an in-memory store that assigns versions like the platform's store.
 type store struct {
 	mu      sync.Mutex
 	era     int64
 	version int64
 	rows    map[string]fleet.Row
-	down    map[string]bool // nodes that it turns away
+	down    map[string]bool // nodes that can't reach the store
 	commits int
-	tries   int // to commit
+	tries   int // attempted commits
 	lists   int
 }
 
-// view is the store as one node reaches it.
+// view is one node's connection to the store.
 type view struct {
 	*store
 	node string
@@ -80,8 +80,8 @@
 	return v.at(), nil
 }
 
-// fleetOf is several nodes that share a store and a clock.
-type fleetOf struct {
+// testFleet is a set of nodes that share a store and a clock.
+type testFleet struct {
 	t     *testing.T
 	store *store
 	now   time.Time
@@ -89,26 +89,27 @@
 	dead  map[string]bool
 }
 
-func newFleet(t *testing.T, zones map[string]string) *fleetOf {
-	f := &fleetOf{t: t, store: newStore(), now: time.Unix(1000, 0), nodes: map[string]*members.Table{}, dead: map[string]bool{}}
+func newFleet(t *testing.T, zones map[string]string) *testFleet {
+	f := &testFleet{t: t, store: newStore(), now: time.Unix(1000, 0), nodes: map[string]*members.Table{}, dead: map[string]bool{}}
 	for name, zone := range zones {
 		f.start(name, zone)
 	}
 	return f
 }
 
-func (f *fleetOf) start(name, zone string) {
+func (f *testFleet) start(name, zone string) {
 	f.startAs(members.Config{Self: members.Node{Name: name, Zone: zone, Address: name}})
 }
 
-func (f *fleetOf) startAs(config members.Config) {
+func (f *testFleet) startAs(config members.Config) {
 	config.Zones, config.Now = []string{"a", "b"}, func() time.Time { return f.now }
 	f.dead[config.Self.Name] = false
 	f.nodes[config.Self.Name] = members.NewTable(config, view{f.store, config.Self.Name})
 }
 
-// run moves the clock on and lets all living nodes do what is due.
-func (f *fleetOf) run(d time.Duration) {
+// run advances the clock by d in steps and runs all living nodes. After each step it checks
+// that no zone has two lease holders.
+func (f *testFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(100 * time.Millisecond) {
 		for name, node := range f.nodes {
 			if !f.dead[name] {
@@ -121,7 +122,7 @@
 	}
 }
 
-func (f *fleetOf) holders(zone string) []string {
+func (f *testFleet) holders(zone string) []string {
 	var held []string
 	for name, node := range f.nodes {
 		if !f.dead[name] && node.Holds(zone, f.now) {
@@ -143,8 +144,8 @@
 	require.Equal(t, f.holders("a")[0], holder.Name)
 }
 
-// Nobody repairs a zone's groups: its holder was killed. Another node of the
-// zone takes over within the lease's time.
+// After the lease holder of a zone is killed, nobody repairs the zone's groups. Another node
+// of the zone must take over within the duration of the lease.
 func TestHolderIsKilled(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(10 * time.Second)
@@ -155,9 +156,9 @@
 	require.NotEqual(t, old, f.holders("a")[0])
 }
 
-// A new holder reads the endpoints' entries up to the moment in which it took the
-// lease. That moment is the taking, not a later renewal: it would wait for ever.
-func TestHeldFromTheTakingOfTheLease(t *testing.T) {
+// A new holder waits until it has read the endpoints' entries up to the position at which it
+// took the lease. If each renewal moved that position, it would wait forever.
+func TestLeasePositionIsThatOfTheTake(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(3 * time.Second)
 	old := f.holders("a")[0]
@@ -172,8 +173,8 @@
 	require.True(t, written.Before(f.nodes[f.holders("a")[0]].HeldFrom("a")))
 }
 
-// A process that starts again under its name takes its own lease back at
-// once: the earlier process is surely gone.
+// A restarted process takes the lease of its own name back at once, as the earlier process
+// must have exited.
 func TestHolderStartsAgain(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a"})
 	f.run(5 * time.Second)
@@ -189,12 +190,13 @@
 	f.nodes[old].Leave(context.Background())
 	f.dead[old] = true
 	f.run(2 * time.Second)
-	require.Len(t, f.holders("a"), 1, "a lease that was given up need not end first")
+	require.Len(t, f.holders("a"), 1, "a released lease can be taken before it would have expired")
 }
 
-// The holder stops as planned, and nodes of other zones take the lease in turn
-// before its own nodes do, each giving orders for a moment.
-func TestLeaseThatWasGivenUpStaysInItsZone(t *testing.T) {
+// When the holder stops as planned, nodes of other zones must not take the released lease
+// before the zone's own nodes do. Otherwise each of them would take it in turn and send
+// orders for a moment.
+func TestReleasedLeaseStaysInItsZone(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b"})
 	f.run(25 * time.Second)
 	old := f.holders("a")[0]
@@ -209,8 +211,8 @@
 	require.Len(t, f.holders("a"), 1)
 }
 
-// The store turns a holder away: it must stop before another may take over.
-// The run itself checks that no zone is held twice.
+// A holder can't reach the store: it must stop using the lease before another node may take
+// it. The check in run fails if a zone has two holders.
 func TestHolderLosesTheStore(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(10 * time.Second)
@@ -223,8 +225,8 @@
 	require.Len(t, f.holders("a"), 1)
 }
 
-// The store is away for 20 s. All leases end, and each node tries to take one
-// again and again: a call of each node every second, all in vain.
+// During a store outage of 20 s all leases expire. If each node kept trying to take one, it
+// would make a useless call every second.
 func TestLeasesAreNotTriedInAnOutage(t *testing.T) {
 	zones := map[string]string{}
 	for _, name := range []string{"a1", "a2", "a3", "a4", "a5", "a6", "a7", "a8"} {
@@ -237,7 +239,7 @@
 	}
 	before := f.store.tries
 	f.run(20 * time.Second)
-	require.LessOrEqual(t, f.store.tries-before, 60, "an announcement of each node every 5 s, a try or two of each, the holder's renewals")
+	require.LessOrEqual(t, f.store.tries-before, 60, "per node an announcement every 5 s and one or two attempts, plus the holder's renewals")
 	for name := range zones {
 		f.store.down[name] = false
 	}
@@ -245,14 +247,14 @@
 	require.Len(t, f.holders("a"), 1)
 }
 
-// All nodes of a zone are gone for long: a node of another zone keeps its
-// groups, and gives the lease back when a node of the zone is there again.
+// If all nodes of a zone are gone for a long time, a node of another zone takes its lease,
+// and releases it when a node of the zone is back.
 func TestZoneWithoutNodes(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "b1": "b"})
 	f.run(10 * time.Second)
 	f.dead["b1"] = true
 	f.run(12 * time.Second)
-	require.Empty(t, f.holders("b"), "a zone that is cut off for a while is left alone")
+	require.Empty(t, f.holders("b"), "the lease of a zone that is unreachable for a short time is not taken")
 	f.run(15 * time.Second)
 	require.Equal(t, []string{"a1"}, f.holders("b"))
 	f.start("b1", "b")
@@ -260,7 +262,7 @@
 	require.Equal(t, []string{"b1"}, f.holders("b"))
 }
 
-// Nodes that are gone must not count for long in what each may use.
+// The nodes share limits between them, so a node that is gone must soon stop counting.
 func TestNodesThatAreGoneAreForgotten(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 	f.run(10 * time.Second)
@@ -269,9 +271,9 @@
 	require.Len(t, f.nodes["a1"].Nodes(), 2)
 }
 
-// Forty nodes start together for the first time. Each that knows few others reads the
-// whole store itself: the store is called by all of them at once. So none knows its
-// neighbors before it knows nearly all of them.
+// Forty nodes start together for the first time. A node that knows few others reads the
+// whole store itself, so all of them would call the store at once. No node may therefore
+// publish its neighbors before it knows nearly all of them.
 func TestNodesThatStartTogetherKnowEachOtherAtOnce(t *testing.T) {
 	f := newFleet(t, nil)
 	const nodes = 40
@@ -281,7 +283,7 @@
 	f.run(time.Second)
 	require.Zero(t, f.store.lists)
 	f.run(time.Second)
-	// One that tries to take the zone's lease too late looks once more.
+	// A node that tries to take the zone's lease too late lists the table once more.
 	require.LessOrEqual(t, f.store.lists, nodes+nodes/4)
 	for _, one := range f.nodes {
 		<-one.Known()
@@ -289,8 +291,8 @@
 	}
 }
 
-// Whoever holds a zone's lease forms its groups and reads the store for all: where
-// several may take it, a VM that bears more goes first.
+// The holder of a zone's lease forms its groups and reads the store for all nodes. If several
+// nodes may take the lease, the one on the VM with the higher capacity goes first.
 func TestStrongNodeTakesTheLeaseFirst(t *testing.T) {
 	f := newFleet(t, nil)
 	for i := range 10 {
@@ -301,5 +303,5 @@
 	require.Equal(t, []string{"strong"}, f.holders("a"))
 	f.dead["strong"] = true
 	f.run(10 * time.Second)
-	require.Len(t, f.holders("a"), 1, "the weak bear it when no strong one is left")
+	require.Len(t, f.holders("a"), 1, "nodes with low capacity take the lease if no strong node is left")
 }
--- a/members/nodes.go
+++ b/members/nodes.go
@@ -13,31 +13,31 @@
 	"redwinghall/relay"
 )
 
-// Node is one node as it announced itself.
+// Node is a node's announcement of itself.
 type Node struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
-	// Capacity is the class of its VM: a higher one bears more.
+	// Capacity is the capacity class of its VM; a VM of a higher class can carry more load.
 	Capacity int `json:"capacity,omitempty"`
 }
 
-// Peer returns the node as one that others can ask.
+// Peer returns the node as a relay peer.
 func (n Node) Peer() relay.Peer {
 	return relay.Peer{Name: n.Name, Address: n.Address, Capacity: n.Capacity}
 }
 
-// seenNode is what is known of another node's row.
+// seenNode is the last known state of a node's row.
 type seenNode struct {
 	node    Node
 	version int64
 	since   time.Time // when this version was first read
 }
 
-// Nodes returns the nodes that are thought to live, this one included.
+// Nodes returns the nodes that are considered alive, including this one.
 func (t *Table) Nodes() []Node { return *t.nodes.Load() }
 
-// updateNodes takes in which nodes announced themselves lately.
+// updateNodes updates the list of live nodes from the rows of the table.
 func (t *Table) updateNodes(boot time.Time, rows map[string]redwinghall.Row) {
 	next := map[string]seenNode{}
 	nodes := []Node{t.config.Self}
@@ -54,11 +54,11 @@
 			}
 		}
 		next[key] = s
-		if s.node.Name != t.config.Self.Name && boot.Sub(s.since) < t.scaledByNodes(goneAfter) {
+		if s.node.Name != t.config.Self.Name && boot.Sub(s.since) < t.scaledByNodes(memberTimeout) {
 			nodes = append(nodes, s.node)
 		}
 	}
-	nodes = append(nodes, t.missing(boot, next)...)
+	nodes = append(nodes, t.unlistedNodes(boot, next)...)
 	t.seen = next
 	if len(nodes) != len(*t.nodes.Load()) {
 		klog.InfoS("members_changed", "nodes", len(nodes), "before", len(*t.nodes.Load()))
@@ -66,10 +66,10 @@
 	t.nodes.Store(&nodes)
 }
 
-// missing returns the nodes whose rows the store lacks since it came back older, and goes on
-// remembering them, while they may still write again.
-func (t *Table) missing(boot time.Time, next map[string]seenNode) []Node {
-	if t.returnedAt.IsZero() || boot.Sub(t.returnedAt) > returnGrace {
+// unlistedNodes returns the live nodes whose rows are unlistedNodes since the store was restored from an
+// older copy, and copies them to next, as long as they may still write their rows again.
+func (t *Table) unlistedNodes(boot time.Time, next map[string]seenNode) []Node {
+	if t.restoredAt.IsZero() || boot.Sub(t.restoredAt) > restoreGrace {
 		return nil
 	}
 	var nodes []Node
@@ -78,7 +78,7 @@
 			continue
 		}
 		next[key] = s
-		if boot.Sub(s.since) < t.scaledByNodes(goneAfter) {
+		if boot.Sub(s.since) < t.scaledByNodes(memberTimeout) {
 			nodes = append(nodes, s.node)
 		}
 	}
@@ -100,20 +100,21 @@
 	t.notePosition(at)
 }
 
-// announceFirst writes this node's row before anything is read.
+// announceFirst writes this node's row before the table is read for the first time.
 //
-// Guard: when all nodes start together and each reads the table first, it finds few
-// others. It then reads the whole store itself until its next look, and the store's
-// calls at the start grow with the number of nodes.
+// If all nodes started together and each read the table first, it would find few other
+// nodes and read the whole store itself until its next list. The number of store calls at
+// startup would then grow with the number of nodes.
 func (t *Table) announceFirst(ctx context.Context, boot time.Time) {
 	t.announce(ctx, boot)
-	t.listTriedAt = boot.Add(gatherTime - listInterval)
+	t.listTriedAt = boot.Add(firstStartDelay - listInterval)
 }
 
 // announceEvery is how often this node writes its row.
 func (t *Table) announceEvery() time.Duration { return t.scaledByNodes(announceInterval) }
 
-// scaledByNodes stretches a time by the number of nodes.
+// scaledByNodes lengthens an interval in proportion to the number of nodes, once they are
+// too many for announceInterval.
 func (t *Table) scaledByNodes(d time.Duration) time.Duration {
 	many := time.Duration(len(*t.nodes.Load())) * announcePerNode
 	return time.Duration(float64(d) * max(1, float64(many)/float64(announceInterval)))
--- a/members/settle.go
+++ b/members/settle.go
@@ -8,26 +8,26 @@
 	"redwinghall/fleet"
 )
 
-// settleTime is how long it takes until all endpoints' entries that a store which came back
-// older holds have been written again, or removed for their silence.
+// settleTime is how long it takes, after the store was restored from an older copy, until
+// every endpoint entry has been written again or has expired.
 const settleTime = 4500 * time.Millisecond
 
-// Settled reports whether what the store lost before an era has been written again.
+// Settled reports whether the entries that the store lost before an era have been written again.
 //
-// Guard: the entries of a copy show VMs without the groups that they have joined since. A
-// holder that forms groups by them joins a VM to a second one while the first one serves.
-// Who was there at the return waits; who started later learns from the holders' records
-// that it is over.
+// The entries of a restored copy show VMs without the groups that they have joined since. A
+// holder that formed groups from them would join a VM to a second group while the first one
+// serves. Nodes that noticed the restore wait for settleTime; nodes that start later learn from
+// the lease holders' records that the wait is over.
 func (t *Table) Settled(era int64) bool { return t.settled.Load() == era }
 
-// noteEra notes in which era of the store the table is read. The lock is held.
+// noteEra records the era of the store in which the table was read. The caller holds t.mu.
 func (t *Table) noteEra(boot time.Time, at fleet.Position) {
 	first := t.firstAt.IsZero()
 	switch {
 	case first && t.config.FirstStart:
-		t.settled.Store(at.Era) // nothing was there before
+		t.settled.Store(at.Era) // the store had no entries before
 	case !first && at.Era > t.listedEra:
-		t.wentBack(boot, at)
+		t.noteRestore(boot, at)
 	}
 	if first || at.Era > t.listedEra {
 		t.eraSince = boot
@@ -35,17 +35,18 @@
 	t.listedEra = at.Era
 }
 
-// wentBack notes that the store has come back from an older copy.
+// noteRestore handles a restore of the store from an older copy.
 //
-// Guard: rows that the copy lacks are gone until they are written again. Each node writes
-// its own at once, as others would count too few nodes and spend too much of what all share.
-func (t *Table) wentBack(boot time.Time, at fleet.Position) {
+// Rows that the copy lacks are missing until they are written again. Each node rewrites its
+// own row at once. Otherwise the other nodes would count too few nodes and use too much of
+// the limits that all nodes share.
+func (t *Table) noteRestore(boot time.Time, at fleet.Position) {
 	klog.InfoS("members_went_back", "era", at.Era, "before", t.listedEra, "version", at.Version)
-	t.returnedAt = boot
+	t.restoredAt = boot
 	t.announcedAt = time.Time{}
 }
 
-// settle works out whether the store's era is settled. The lock is held.
+// settle updates which era of the store is settled. The caller holds t.mu.
 func (t *Table) settle(boot time.Time) {
 	if t.firstAt.IsZero() {
 		return
