--- a/members/members.go
+++ b/members/members.go
@@ -123,9 +123,9 @@
 	return t
 }
 
-// Holds reports whether this node holds a zone's lease at a boot time, and so may form
+// HoldsLease reports whether this node holds a zone's lease at a boot time, and so may form
 // groups in the zone.
-func (t *Table) Holds(zone string, boot time.Time) bool {
+func (t *Table) HoldsLease(zone string, boot time.Time) bool {
 	held, ok := (*t.held.Load())[zone]
 	return ok && boot.Before(held.until)
 }
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -125,7 +125,7 @@
 func (f *testFleet) holders(zone string) []string {
 	var held []string
 	for name, node := range f.nodes {
-		if !f.dead[name] && node.Holds(zone, f.now) {
+		if !f.dead[name] && node.HoldsLease(zone, f.now) {
 			held = append(held, name)
 		}
 	}
