--- a/members/members.go
+++ b/members/members.go
@@ -130,8 +130,8 @@
 	return ok && boot.Before(held.until)
 }
 
-// HeldFrom returns the position of the store at which this node took a zone's lease.
-func (t *Table) HeldFrom(zone string) fleet.Position { return (*t.held.Load())[zone].from }
+// LeasePosition returns the position of the store at which this node took a zone's lease.
+func (t *Table) LeasePosition(zone string) fleet.Position { return (*t.held.Load())[zone].from }
 
 // Holder returns the node that holds a zone's lease, if it is known.
 func (t *Table) Holder(zone string) (Node, bool) {
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -162,15 +162,15 @@
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(3 * time.Second)
 	old := f.holders("a")[0]
-	from := f.nodes[old].HeldFrom("a")
+	from := f.nodes[old].LeasePosition("a")
 	require.False(t, from.IsZero())
 	f.run(20 * time.Second)
 	require.Equal(t, []string{old}, f.holders("a"))
-	require.Equal(t, from, f.nodes[old].HeldFrom("a"))
+	require.Equal(t, from, f.nodes[old].LeasePosition("a"))
 	f.dead[old] = true
 	written := fleet.Position{Version: f.store.version}
 	f.run(6 * time.Second)
-	require.True(t, written.Before(f.nodes[f.holders("a")[0]].HeldFrom("a")))
+	require.True(t, written.Before(f.nodes[f.holders("a")[0]].LeasePosition("a")))
 }
 
 // A restarted process takes the lease of its own name back at once, as the earlier process
--- a/node/node.go
+++ b/node/node.go
@@ -88,7 +88,7 @@
 	n.manager = formation.NewManager(formation.Options{
 		Settings: n.currentSettings, Book: n.book, Orderer: platform.NewEngines(), Position: n.table.Position,
 		Holds:    func(zone string) bool { return n.table.HoldsLease(zone, kernel.BootTime()) },
-		HeldFrom: n.table.HeldFrom,
+		HeldFrom: n.table.LeasePosition,
 		Settled:  n.table.Settled,
 		Begun:    func() bool { return n.gateway.Served() > 0 },
 		Moves:    n.tracker.Moves,
