--- a/directory/view.go
+++ b/directory/view.go
@@ -87,7 +87,7 @@
 
 // RequiresKey reports whether requests need an API key, which is the case if the
 // configuration has any client accounts.
-func (v *View) AsksForKey() bool { return v.indexed != nil && len(v.indexed.config.Accounts) > 0 }
+func (v *View) RequiresKey() bool { return v.indexed != nil && len(v.indexed.config.Accounts) > 0 }
 
 // Service returns a service of the configuration.
 func (v *View) Service(name string) (fleet.Service, bool) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -122,7 +122,7 @@
 		return r, &refusal{status: http.StatusNotFound, reason: "no_route"}
 	}
 	r.Route = route
-	if !route.Public && r.view.AsksForKey() {
+	if !route.Public && r.view.RequiresKey() {
 		account, ok := r.view.Account(r.Ask.Key)
 		if !ok {
 			return r, &refusal{status: http.StatusUnauthorized, reason: "unknown_key"}
