--- a/directory/book.go
+++ b/directory/book.go
@@ -14,8 +14,8 @@
 // gone: endpoints need some time to rewrite their entries.
 const LapseGrace = 2200 * time.Millisecond
 
-// Book collects changes and publishes immutable views. It is safe for concurrent use.
-type Book struct {
+// Cache collects changes and publishes immutable views. It is safe for concurrent use.
+type Cache struct {
 	mu        sync.Mutex
 	view      atomic.Pointer[View]
 	indexed   *indexedConfig
@@ -31,8 +31,8 @@
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book {
-	b := &Book{endpoints: map[string]*fleet.Endpoint{}, lapsed: map[string]time.Time{}, zonesOut: map[string]bool{}, restored: newRestored()}
+func NewBook() *Cache {
+	b := &Cache{endpoints: map[string]*fleet.Endpoint{}, lapsed: map[string]time.Time{}, zonesOut: map[string]bool{}, restored: newRestored()}
 	b.configured, b.listed = make(chan struct{}), make(chan struct{})
 	b.view.Store(&View{})
 	b.read.Store(&fleet.Position{})
@@ -40,18 +40,18 @@
 }
 
 // View returns the latest view.
-func (b *Book) View() *View { return b.view.Load() }
+func (b *Cache) View() *View { return b.view.Load() }
 
 // StoreReturned starts the grace for missing entries. It is called when the store responds
 // again after an outage or was restored from an older copy.
-func (b *Book) StoreReturned(now time.Time) {
+func (b *Cache) StoreReturned(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.graceUntil = now.Add(LapseGrace)
 }
 
 // NoteRead records the position of the store up to which the endpoints' entries were read.
-func (b *Book) NoteRead(at fleet.Position) {
+func (b *Cache) NoteRead(at fleet.Position) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.Read().IsZero() && !at.IsZero() {
@@ -62,13 +62,13 @@
 }
 
 // Configured returns a channel that is closed once a configuration has been read.
-func (b *Book) Configured() <-chan struct{} { return b.configured }
+func (b *Cache) Configured() <-chan struct{} { return b.configured }
 
 // Listed returns a channel that is closed once the endpoints' entries have been read.
-func (b *Book) Listed() <-chan struct{} { return b.listed }
+func (b *Cache) Listed() <-chan struct{} { return b.listed }
 
 // Read returns the position of the store up to which the endpoints' entries have been read.
-func (b *Book) Read() fleet.Position { return *b.read.Load() }
+func (b *Cache) Read() fleet.Position { return *b.read.Load() }
 
 // Change is one change read from the store. Exactly one field other than Restored is set.
 type Change struct {
@@ -83,7 +83,7 @@
 }
 
 // Apply applies changes and publishes a single new view.
-func (b *Book) Apply(now time.Time, changes ...Change) {
+func (b *Cache) Apply(now time.Time, changes ...Change) {
 	if len(changes) == 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (b *Book) applyOne(now time.Time, c Change) {
+func (b *Cache) applyOne(now time.Time, c Change) {
 	switch {
 	case c.Config != nil:
 		// Versions only increase. An older configuration that is read late must not
@@ -125,14 +125,14 @@
 	}
 }
 
-func (b *Book) put(e *fleet.Endpoint) {
+func (b *Cache) put(e *fleet.Endpoint) {
 	b.endpoints[e.ID] = e
 	delete(b.lapsed, e.ID)
 	b.restored.forget(e.ID)
 }
 
 // remove drops an endpoint, or keeps it until the grace after a store outage ends.
-func (b *Book) remove(now time.Time, id string) {
+func (b *Cache) remove(now time.Time, id string) {
 	if now.Before(b.graceUntil) {
 		if _, known := b.lapsed[id]; !known {
 			b.lapsed[id] = b.graceUntil
@@ -142,7 +142,7 @@
 	b.drop(now, id)
 }
 
-func (b *Book) drop(now time.Time, id string) {
+func (b *Cache) drop(now time.Time, id string) {
 	if e, known := b.endpoints[id]; known {
 		b.restored.noteGone(now, e)
 	}
@@ -153,7 +153,7 @@
 
 // Expire drops endpoints whose entries are still missing at the end of their grace. It also
 // applies the held-back state of a store restored from an older copy once its grace is over.
-func (b *Book) Expire(now time.Time) {
+func (b *Cache) Expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	changed := false
@@ -181,7 +181,7 @@
 
 // Known returns the IDs of all endpoints and the zones taken out of service, for
 // comparison with a new list.
-func (b *Book) Known() (ids, zonesOut []string) {
+func (b *Cache) Known() (ids, zonesOut []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id := range b.endpoints {
@@ -193,7 +193,7 @@
 	return ids, zonesOut
 }
 
-func (b *Book) publish() {
+func (b *Cache) publish() {
 	v := &View{
 		indexed:   b.indexed,
 		Endpoints: make(map[string]*fleet.Endpoint, len(b.endpoints)),
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -150,7 +150,7 @@
 	return fleet.Row{Table: "servers", Key: id, Value: value, Version: version}
 }
 
-func follow(t *testing.T, store fleet.Store) (*directory.Book, func()) {
+func follow(t *testing.T, store fleet.Store) (*directory.Cache, func()) {
 	t.Helper()
 	book := directory.NewBook()
 	g := kernel.NewGroup(context.Background())
--- a/directory/era_test.go
+++ b/directory/era_test.go
@@ -65,7 +65,7 @@
 		return changes
 	}
 	back := start.Add(10 * time.Second)
-	newBook := func() *directory.Book {
+	newBook := func() *directory.Cache {
 		book := directory.NewBook()
 		book.Apply(start, directory.Change{Endpoint: leaving}, directory.Change{Endpoint: gone}, directory.Change{ZoneOut: "a"})
 		book.Apply(start.Add(time.Second), directory.Change{Gone: "gone"})
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -41,7 +41,7 @@
 // Follower follows the store's tables and keeps a book up to date.
 type Follower struct {
 	store fleet.Store
-	book  *Book
+	book  *Cache
 	// urgent reports whether this node is waiting for endpoints to change.
 	urgent func() bool
 	// known is closed once this node knows the nodes that may read the store for it.
@@ -49,7 +49,7 @@
 }
 
 // NewFollower returns a follower. urgent may be nil.
-func NewFollower(store fleet.Store, book *Book, urgent func() bool) *Follower {
+func NewFollower(store fleet.Store, book *Cache, urgent func() bool) *Follower {
 	if urgent == nil {
 		urgent = func() bool { return false }
 	}
--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -19,7 +19,7 @@
 // must hold of groups.
 type farm struct {
 	mu      sync.Mutex
-	book    *directory.Book
+	book    *directory.Cache
 	workers map[string]*farmWorker
 	ready   map[string]map[string]bool // workers that were ever ready, by group
 	broken  []string                   // what must not happen and did
@@ -147,7 +147,7 @@
 
 // follower is a holder's copy of the entries, which lags behind.
 type follower struct {
-	book *directory.Book
+	book *directory.Cache
 	due  time.Time // of the last change that is on its way
 	// behind is how much later than a holder the node reads.
 	behind time.Duration
--- a/formation/handover_test.go
+++ b/formation/handover_test.go
@@ -12,7 +12,7 @@
 
 // withOlderCopy gives the farm a book in which nobody belongs to a group, read up to a
 // position. It returns the one that it had, and that one.
-func (f *farm) withOlderCopy(at fleet.Position) (current, older *directory.Book) {
+func (f *farm) withOlderCopy(at fleet.Position) (current, older *directory.Cache) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	current, older = f.book, directory.NewBook()
--- a/formation/joining_test.go
+++ b/formation/joining_test.go
@@ -382,7 +382,7 @@
 
 // manageBy returns a holder that reaches the endpoints by a link, with its own
 // copy of their entries.
-func manageBy(f *farm, fresh bool, orderer fleet.Orderer, book *directory.Book) *node {
+func manageBy(f *farm, fresh bool, orderer fleet.Orderer, book *directory.Cache) *node {
 	f.mu.Lock()
 	f.leases++
 	n := &node{version: f.leases, holds: true, fresh: fresh, moving: map[string]bool{}, group: kernel.NewGroup(context.Background())}
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -40,7 +40,7 @@
 type Options struct {
 	// Settings returns the settings in force.
 	Settings func() fleet.Settings
-	Book     *directory.Book
+	Book     *directory.Cache
 	Orderer  fleet.Orderer
 	// Holds reports whether this node may form the groups of a zone now, and
 	// HeldFrom at which position of the store it took the zone's lease.
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -46,7 +46,7 @@
 
 // start lets a node form groups by its copy of the entries and its way to the
 // endpoints.
-func (n *node) start(book *directory.Book, orderer fleet.Orderer) {
+func (n *node) start(book *directory.Cache, orderer fleet.Orderer) {
 	settings := fleet.Settings{Zone: "z", Zones: []string{"z"}, FirstStart: n.fresh, Bounds: fleet.Bounds{
 		Stall: 4 * time.Second, LoadsWindow: 5 * time.Second, LoadsOvershoot: 1.1,
 	}}
@@ -67,7 +67,7 @@
 }
 
 // running returns how many requests a head has, by what is asked for of its model.
-func (n *node) running(book *directory.Book) func(time.Time, string) int {
+func (n *node) running(book *directory.Cache) func(time.Time, string) int {
 	return func(_ time.Time, id string) int {
 		e, known := book.View().Endpoints[id]
 		asked := n.asked.Load()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -29,7 +29,7 @@
 type Options struct {
 	// Settings returns the settings in force.
 	Settings func() fleet.Settings
-	Book     *directory.Book
+	Book     *directory.Cache
 	Tracker  *balance.Tracker
 	Upstream *Upstream
 	// Shares returns this node's part at the moment.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -26,7 +26,7 @@
 // site is a gateway before stand-in endpoints, over real connections.
 type site struct {
 	t       testing.TB
-	book    *directory.Book
+	book    *directory.Cache
 	server  *httptest.Server
 	tracker *balance.Tracker
 	config  *fleet.Configuration
--- a/node/node.go
+++ b/node/node.go
@@ -47,7 +47,7 @@
 	path     string // of the settings file; "" disables reloading
 	settings fleet.Settings
 	current  atomic.Pointer[fleet.Settings]
-	book     *directory.Book
+	book     *directory.Cache
 	tracker  *balance.Tracker
 	upstream *gateway.Upstream
 	gateway  *gateway.Gateway
