--- a/directory/book.go
+++ b/directory/book.go
@@ -30,8 +30,8 @@
 	listed     chan struct{} // closed once the endpoints' entries have been read
 }
 
-// NewBook returns an empty book.
-func NewBook() *Cache {
+// NewCache returns an empty book.
+func NewCache() *Cache {
 	b := &Cache{endpoints: map[string]*fleet.Endpoint{}, lapsed: map[string]time.Time{}, zonesOut: map[string]bool{}, restored: newRestored()}
 	b.configured, b.listed = make(chan struct{}), make(chan struct{})
 	b.view.Store(&View{})
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestViewRoutes(t *testing.T) {
-	book := directory.NewBook()
+	book := directory.NewCache()
 	require.Nil(t, book.View().Config())
 	book.Apply(start, directory.Change{Config: config(1)})
 	for path, want := range map[string]string{"/x/1": "short", "/x/y/1": "long", "/x/y": "short"} {
@@ -57,7 +57,7 @@
 // If an older configuration that is read after a newer one took effect, a revoked API key
 // would work again for a while. Versions only increase.
 func TestConfigurationNeverGoesBack(t *testing.T) {
-	book := directory.NewBook()
+	book := directory.NewCache()
 	newer := config(5)
 	newer.Accounts = nil
 	book.Apply(start, directory.Change{Config: newer}, directory.Change{Config: config(4)})
@@ -70,7 +70,7 @@
 // Without a grace, half of the endpoints were dropped at the end of an outage. Only an
 // endpoint that is still missing after the grace is gone.
 func TestEntriesThatLapsedInAnOutageMayComeBack(t *testing.T) {
-	book := directory.NewBook()
+	book := directory.NewCache()
 	book.Apply(start, directory.Change{Endpoint: endpoint("back")}, directory.Change{Endpoint: endpoint("gone")})
 	book.StoreReturned(start)
 	book.Apply(start, directory.Change{Gone: "back"}, directory.Change{Gone: "gone"})
@@ -152,7 +152,7 @@
 
 func follow(t *testing.T, store fleet.Store) (*directory.Cache, func()) {
 	t.Helper()
-	book := directory.NewBook()
+	book := directory.NewCache()
 	g := kernel.NewGroup(context.Background())
 	directory.NewFollower(store, book, nil).Start(g)
 	return book, func() {
--- a/directory/era_test.go
+++ b/directory/era_test.go
@@ -66,7 +66,7 @@
 	}
 	back := start.Add(10 * time.Second)
 	newBook := func() *directory.Cache {
-		book := directory.NewBook()
+		book := directory.NewCache()
 		book.Apply(start, directory.Change{Endpoint: leaving}, directory.Change{Endpoint: gone}, directory.Change{ZoneOut: "a"})
 		book.Apply(start.Add(time.Second), directory.Change{Gone: "gone"})
 		book.StoreReturned(back)
--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -88,7 +88,7 @@
 func newFarmOf(engine *fleet.Engine, seed uint64, domains, size int) *farm {
 	f := &farm{
 		engine: engine,
-		book:   directory.NewBook(), workers: map[string]*farmWorker{}, ready: map[string]map[string]bool{}, taken: map[string]string{},
+		book:   directory.NewCache(), workers: map[string]*farmWorker{}, ready: map[string]map[string]bool{}, taken: map[string]string{},
 		random: rand.New(rand.NewPCG(seed, 1)), lag: 150 * time.Millisecond,
 		stored: map[string]*fleet.Endpoint{},
 	}
@@ -158,7 +158,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	c := &follower{book: directory.NewBook(), behind: behind}
+	c := &follower{book: directory.NewCache(), behind: behind}
 	c.book.Apply(now, directory.Change{Config: f.book.View().Config()})
 	for _, e := range f.stored {
 		c.book.Apply(now, directory.Change{Endpoint: e})
--- a/formation/handover_test.go
+++ b/formation/handover_test.go
@@ -15,7 +15,7 @@
 func (f *farm) withOlderCopy(at fleet.Position) (current, older *directory.Cache) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	current, older = f.book, directory.NewBook()
+	current, older = f.book, directory.NewCache()
 	older.Apply(time.Now(), directory.Change{Config: current.View().Config()})
 	for _, e := range current.View().Endpoints {
 		free := *e
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -99,7 +99,7 @@
 // newUnconfigured returns a site whose gateway has just started and has read nothing.
 func newUnconfigured(t testing.TB) *site {
 	t.Helper()
-	s := &site{t: t, book: directory.NewBook(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
+	s := &site{t: t, book: directory.NewCache(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
 	s.settings = fleet.Settings{Zone: "a", Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 100}}
 	g := gateway.New(gateway.Options{
 		Settings: func() fleet.Settings { return s.settings }, Book: s.book, Tracker: s.tracker, Upstream: gateway.NewUpstream(),
@@ -237,7 +237,7 @@
 func TestUnknownConfigurationIsNoDenial(t *testing.T) {
 	s := newSite(t)
 	g := gateway.New(gateway.Options{
-		Settings: func() fleet.Settings { return fleet.Settings{} }, Book: directory.NewBook(), Tracker: balance.NewTracker(),
+		Settings: func() fleet.Settings { return fleet.Settings{} }, Book: directory.NewCache(), Tracker: balance.NewTracker(),
 		Upstream: gateway.NewUpstream(), Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return gateway.Shares{} },
 	})
 	w := httptest.NewRecorder()
--- a/node/node.go
+++ b/node/node.go
@@ -73,7 +73,7 @@
 func New(path string, s fleet.Settings) *Node {
 	store := platform.NewStore(s.StoreAddress)
 	n := &Node{
-		path: path, settings: s, book: directory.NewBook(), tracker: balance.NewTracker(), upstream: gateway.NewUpstream(),
+		path: path, settings: s, book: directory.NewCache(), tracker: balance.NewTracker(), upstream: gateway.NewUpstream(),
 		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), board: neighbor.NewBoard(),
 		backoff: relay.NewAvoided(dispatcherMinBackoff, dispatcherMaxBackoff),
 	}
