--- a/directory/book.go
+++ b/directory/cache.go
@@ -14,7 +14,8 @@
 // gone: endpoints need some time to rewrite their entries.
 const LapseGrace = 2200 * time.Millisecond
 
-// Cache collects changes and publishes immutable views. It is safe for concurrent use.
+// Cache holds the state that was read from the store and publishes it as immutable views.
+// It is safe for concurrent use.
 type Cache struct {
 	mu        sync.Mutex
 	view      atomic.Pointer[View]
@@ -30,45 +31,45 @@
 	listed     chan struct{} // closed once the endpoints' entries have been read
 }
 
-// NewCache returns an empty book.
+// NewCache returns an empty cache.
 func NewCache() *Cache {
-	b := &Cache{endpoints: map[string]*fleet.Endpoint{}, lapsed: map[string]time.Time{}, zonesOut: map[string]bool{}, restored: newRestored()}
-	b.configured, b.listed = make(chan struct{}), make(chan struct{})
-	b.view.Store(&View{})
-	b.read.Store(&fleet.Position{})
-	return b
+	c := &Cache{endpoints: map[string]*fleet.Endpoint{}, lapsed: map[string]time.Time{}, zonesOut: map[string]bool{}, restored: newRestored()}
+	c.configured, c.listed = make(chan struct{}), make(chan struct{})
+	c.view.Store(&View{})
+	c.read.Store(&fleet.Position{})
+	return c
 }
 
 // View returns the latest view.
-func (b *Cache) View() *View { return b.view.Load() }
+func (c *Cache) View() *View { return c.view.Load() }
 
 // StoreReturned starts the grace for missing entries. It is called when the store responds
 // again after an outage or was restored from an older copy.
-func (b *Cache) StoreReturned(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.graceUntil = now.Add(LapseGrace)
+func (c *Cache) StoreReturned(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.graceUntil = now.Add(LapseGrace)
 }
 
 // NoteRead records the position of the store up to which the endpoints' entries were read.
-func (b *Cache) NoteRead(at fleet.Position) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.Read().IsZero() && !at.IsZero() {
-		close(b.listed)
-	}
-	next := b.Read().Later(at)
-	b.read.Store(&next)
+func (c *Cache) NoteRead(at fleet.Position) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.Read().IsZero() && !at.IsZero() {
+		close(c.listed)
+	}
+	next := c.Read().Later(at)
+	c.read.Store(&next)
 }
 
 // Configured returns a channel that is closed once a configuration has been read.
-func (b *Cache) Configured() <-chan struct{} { return b.configured }
+func (c *Cache) Configured() <-chan struct{} { return c.configured }
 
 // Listed returns a channel that is closed once the endpoints' entries have been read.
-func (b *Cache) Listed() <-chan struct{} { return b.listed }
+func (c *Cache) Listed() <-chan struct{} { return c.listed }
 
 // Read returns the position of the store up to which the endpoints' entries have been read.
-func (b *Cache) Read() fleet.Position { return *b.read.Load() }
+func (c *Cache) Read() fleet.Position { return *c.read.Load() }
 
 // Change is one change read from the store. Exactly one field other than Restored is set.
 type Change struct {
@@ -83,125 +84,125 @@
 }
 
 // Apply applies changes and publishes a single new view.
-func (b *Cache) Apply(now time.Time, changes ...Change) {
+func (c *Cache) Apply(now time.Time, changes ...Change) {
 	if len(changes) == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	first := b.indexed == nil
-	for _, c := range changes {
-		b.applyOne(now, c)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	first := c.indexed == nil
+	for _, change := range changes {
+		c.applyOne(now, change)
 	}
-	b.publish()
-	if first && b.indexed != nil {
-		close(b.configured)
+	c.publish()
+	if first && c.indexed != nil {
+		close(c.configured)
 	}
 }
 
-func (b *Cache) applyOne(now time.Time, c Change) {
+func (c *Cache) applyOne(now time.Time, change Change) {
 	switch {
-	case c.Config != nil:
+	case change.Config != nil:
 		// Versions only increase. An older configuration that is read late must not
 		// bring back routes and keys that were removed.
-		if b.indexed == nil || c.Config.Version >= b.indexed.config.Version {
-			b.indexed = newIndexedConfig(c.Config)
+		if c.indexed == nil || change.Config.Version >= c.indexed.config.Version {
+			c.indexed = newIndexedConfig(change.Config)
 		}
-	case c.Endpoint != nil:
-		if c.Restored && b.restored.keeps(now, b.endpoints[c.Endpoint.ID], c.Endpoint) {
+	case change.Endpoint != nil:
+		if change.Restored && c.restored.keeps(now, c.endpoints[change.Endpoint.ID], change.Endpoint) {
 			return
 		}
-		b.put(c.Endpoint)
-	case c.Gone != "":
-		b.remove(now, c.Gone)
-	case c.ZoneOut != "":
-		b.zonesOut[c.ZoneOut] = true
-		delete(b.restored.zonesIn, c.ZoneOut)
-	case c.ZoneIn != "" && c.Restored:
-		b.restored.zonesIn[c.ZoneIn] = now.Add(LapseGrace)
-	case c.ZoneIn != "":
-		delete(b.zonesOut, c.ZoneIn)
-		delete(b.restored.zonesIn, c.ZoneIn)
+		c.put(change.Endpoint)
+	case change.Gone != "":
+		c.remove(now, change.Gone)
+	case change.ZoneOut != "":
+		c.zonesOut[change.ZoneOut] = true
+		delete(c.restored.zonesIn, change.ZoneOut)
+	case change.ZoneIn != "" && change.Restored:
+		c.restored.zonesIn[change.ZoneIn] = now.Add(LapseGrace)
+	case change.ZoneIn != "":
+		delete(c.zonesOut, change.ZoneIn)
+		delete(c.restored.zonesIn, change.ZoneIn)
 	}
 }
 
-func (b *Cache) put(e *fleet.Endpoint) {
-	b.endpoints[e.ID] = e
-	delete(b.lapsed, e.ID)
-	b.restored.forget(e.ID)
+func (c *Cache) put(e *fleet.Endpoint) {
+	c.endpoints[e.ID] = e
+	delete(c.lapsed, e.ID)
+	c.restored.forget(e.ID)
 }
 
 // remove drops an endpoint, or keeps it until the grace after a store outage ends.
-func (b *Cache) remove(now time.Time, id string) {
-	if now.Before(b.graceUntil) {
-		if _, known := b.lapsed[id]; !known {
-			b.lapsed[id] = b.graceUntil
+func (c *Cache) remove(now time.Time, id string) {
+	if now.Before(c.graceUntil) {
+		if _, known := c.lapsed[id]; !known {
+			c.lapsed[id] = c.graceUntil
 		}
 		return
 	}
-	b.drop(now, id)
+	c.drop(now, id)
 }
 
-func (b *Cache) drop(now time.Time, id string) {
-	if e, known := b.endpoints[id]; known {
-		b.restored.noteGone(now, e)
+func (c *Cache) drop(now time.Time, id string) {
+	if e, known := c.endpoints[id]; known {
+		c.restored.noteGone(now, e)
 	}
-	delete(b.endpoints, id)
-	delete(b.lapsed, id)
-	delete(b.restored.held, id)
+	delete(c.endpoints, id)
+	delete(c.lapsed, id)
+	delete(c.restored.held, id)
 }
 
 // Expire drops endpoints whose entries are still missing at the end of their grace. It also
 // applies the held-back state of a store restored from an older copy once its grace is over.
-func (b *Cache) Expire(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *Cache) Expire(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	changed := false
-	for id, until := range b.lapsed {
+	for id, until := range c.lapsed {
 		if !now.Before(until) {
-			b.drop(now, id)
+			c.drop(now, id)
 			changed = true
 		}
 	}
-	for _, e := range b.restored.due(now) {
-		b.put(e)
+	for _, e := range c.restored.due(now) {
+		c.put(e)
 		changed = true
 	}
-	for zone, at := range b.restored.zonesIn {
+	for zone, at := range c.restored.zonesIn {
 		if !now.Before(at) {
-			delete(b.restored.zonesIn, zone)
-			delete(b.zonesOut, zone)
+			delete(c.restored.zonesIn, zone)
+			delete(c.zonesOut, zone)
 			changed = true
 		}
 	}
 	if changed {
-		b.publish()
+		c.publish()
 	}
 }
 
 // Known returns the IDs of all endpoints and the zones taken out of service, for
 // comparison with a new list.
-func (b *Cache) Known() (ids, zonesOut []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id := range b.endpoints {
+func (c *Cache) Known() (ids, zonesOut []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id := range c.endpoints {
 		ids = append(ids, id)
 	}
-	for zone := range b.zonesOut {
+	for zone := range c.zonesOut {
 		zonesOut = append(zonesOut, zone)
 	}
 	return ids, zonesOut
 }
 
-func (b *Cache) publish() {
+func (c *Cache) publish() {
 	v := &View{
-		indexed:   b.indexed,
-		Endpoints: make(map[string]*fleet.Endpoint, len(b.endpoints)),
+		indexed:   c.indexed,
+		Endpoints: make(map[string]*fleet.Endpoint, len(c.endpoints)),
 		ByService: map[string][]*fleet.Endpoint{},
-		ZonesOut:  make(map[string]bool, len(b.zonesOut)),
+		ZonesOut:  make(map[string]bool, len(c.zonesOut)),
 		heads:     map[modelKey][]*fleet.Endpoint{},
 	}
-	for id, e := range b.endpoints {
+	for id, e := range c.endpoints {
 		v.Endpoints[id] = e
 		v.ByService[e.Service] = append(v.ByService[e.Service], e)
 	}
@@ -216,8 +217,8 @@
 			}
 		}
 	}
-	for zone := range b.zonesOut {
+	for zone := range c.zonesOut {
 		v.ZonesOut[zone] = true
 	}
-	b.view.Store(v)
+	c.view.Store(v)
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -37,32 +37,32 @@
 }
 
 func TestViewRoutes(t *testing.T) {
-	book := directory.NewCache()
-	require.Nil(t, book.View().Config())
-	book.Apply(start, directory.Change{Config: config(1)})
+	cache := directory.NewCache()
+	require.Nil(t, cache.View().Config())
+	cache.Apply(start, directory.Change{Config: config(1)})
 	for path, want := range map[string]string{"/x/1": "short", "/x/y/1": "long", "/x/y": "short"} {
-		route, ok := book.View().Route("a.example:8080", path)
+		route, ok := cache.View().Route("a.example:8080", path)
 		require.True(t, ok, path)
 		require.Equal(t, want, route.Name, path)
 	}
-	_, ok := book.View().Route("a.example", "/z/")
+	_, ok := cache.View().Route("a.example", "/z/")
 	require.False(t, ok)
-	account, ok := book.View().Account("k2")
+	account, ok := cache.View().Account("k2")
 	require.True(t, ok)
 	require.Equal(t, "depot", account.Name)
-	_, ok = book.View().Account("")
+	_, ok = cache.View().Account("")
 	require.False(t, ok)
 }
 
 // If an older configuration that is read after a newer one took effect, a revoked API key
 // would work again for a while. Versions only increase.
 func TestConfigurationNeverGoesBack(t *testing.T) {
-	book := directory.NewCache()
+	cache := directory.NewCache()
 	newer := config(5)
 	newer.Accounts = nil
-	book.Apply(start, directory.Change{Config: newer}, directory.Change{Config: config(4)})
-	require.Equal(t, int64(5), book.View().Config().Version)
-	_, ok := book.View().Account("k1")
+	cache.Apply(start, directory.Change{Config: newer}, directory.Change{Config: config(4)})
+	require.Equal(t, int64(5), cache.View().Config().Version)
+	_, ok := cache.View().Account("k1")
 	require.False(t, ok)
 }
 
@@ -70,17 +70,17 @@
 // Without a grace, half of the endpoints were dropped at the end of an outage. Only an
 // endpoint that is still missing after the grace is gone.
 func TestEntriesThatLapsedInAnOutageMayComeBack(t *testing.T) {
-	book := directory.NewCache()
-	book.Apply(start, directory.Change{Endpoint: endpoint("back")}, directory.Change{Endpoint: endpoint("gone")})
-	book.StoreReturned(start)
-	book.Apply(start, directory.Change{Gone: "back"}, directory.Change{Gone: "gone"})
-	require.Len(t, book.View().Endpoints, 2)
-	book.Apply(start.Add(time.Second), directory.Change{Endpoint: endpoint("back")})
-	book.Expire(start.Add(directory.LapseGrace))
-	require.Contains(t, book.View().Endpoints, "back")
-	require.NotContains(t, book.View().Endpoints, "gone")
-	book.Apply(start.Add(time.Minute), directory.Change{Gone: "back"})
-	require.Empty(t, book.View().Endpoints, "without an outage an endpoint is gone as soon as its entry is missing")
+	cache := directory.NewCache()
+	cache.Apply(start, directory.Change{Endpoint: endpoint("back")}, directory.Change{Endpoint: endpoint("gone")})
+	cache.StoreReturned(start)
+	cache.Apply(start, directory.Change{Gone: "back"}, directory.Change{Gone: "gone"})
+	require.Len(t, cache.View().Endpoints, 2)
+	cache.Apply(start.Add(time.Second), directory.Change{Endpoint: endpoint("back")})
+	cache.Expire(start.Add(directory.LapseGrace))
+	require.Contains(t, cache.View().Endpoints, "back")
+	require.NotContains(t, cache.View().Endpoints, "gone")
+	cache.Apply(start.Add(time.Minute), directory.Change{Gone: "back"})
+	require.Empty(t, cache.View().Endpoints, "without an outage an endpoint is gone as soon as its entry is missing")
 }
 
 // fakeStore is a fake store with configurable rows and failures.
@@ -152,10 +152,10 @@
 
 func follow(t *testing.T, store fleet.Store) (*directory.Cache, func()) {
 	t.Helper()
-	book := directory.NewCache()
+	cache := directory.NewCache()
 	g := kernel.NewGroup(context.Background())
-	directory.NewFollower(store, book, nil).Start(g)
-	return book, func() {
+	directory.NewFollower(store, cache, nil).Start(g)
+	return cache, func() {
 		g.Stop()
 		require.NoError(t, g.Wait())
 	}
@@ -167,16 +167,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{}
 		store.set(7, "", entry(t, "a", 5))
-		book, stop := follow(t, store)
+		cache, stop := follow(t, store)
 		defer stop()
 		time.Sleep(time.Second)
-		require.Equal(t, fleet.Position{Version: 7}, book.Read())
+		require.Equal(t, fleet.Position{Version: 7}, cache.Read())
 		store.set(9, "", entry(t, "a", 5))
 		time.Sleep(4 * time.Second)
-		require.Equal(t, fleet.Position{Version: 9}, book.Read())
+		require.Equal(t, fleet.Position{Version: 9}, cache.Read())
 		store.set(3, fleet.StoreHistoryGone)
 		time.Sleep(4 * time.Second)
-		require.Equal(t, fleet.Position{Version: 9}, book.Read(), "the position doesn't go back to that of an older copy")
+		require.Equal(t, fleet.Position{Version: 9}, cache.Read(), "the position doesn't go back to that of an older copy")
 	})
 }
 
@@ -186,14 +186,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{}
 		store.set(10, "", entry(t, "a", 3), entry(t, "b", 4))
-		book, stop := follow(t, store)
+		cache, stop := follow(t, store)
 		defer stop()
 		time.Sleep(time.Second)
-		require.Len(t, book.View().Endpoints, 2)
+		require.Len(t, cache.View().Endpoints, 2)
 		store.set(50, fleet.StoreHistoryGone, entry(t, "b", 40), entry(t, "c", 41))
 		time.Sleep(3 * time.Second)
-		require.NotContains(t, book.View().Endpoints, "a")
-		require.Contains(t, book.View().Endpoints, "c")
+		require.NotContains(t, cache.View().Endpoints, "a")
+		require.Contains(t, cache.View().Endpoints, "c")
 	})
 }
 
@@ -203,15 +203,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{}
 		store.set(10, "", entry(t, "a", 3))
-		book, stop := follow(t, store)
+		cache, stop := follow(t, store)
 		defer stop()
 		time.Sleep(time.Second)
 		store.set(10, fleet.StoreUnavailable)
 		time.Sleep(30 * time.Second)
-		require.Contains(t, book.View().Endpoints, "a")
+		require.Contains(t, cache.View().Endpoints, "a")
 		store.set(20, "", entry(t, "d", 15))
 		time.Sleep(3 * time.Second)
-		require.Contains(t, book.View().Endpoints, "d")
+		require.Contains(t, cache.View().Endpoints, "d")
 		require.Equal(t, 1, store.lists, "changes are read on from the last version, without a new list")
 	})
 }
@@ -222,10 +222,10 @@
 		store := &fakeStore{}
 		bad := fleet.Row{Table: "servers", Key: "bad", Value: []byte(`{"service":5}`), Version: 4}
 		store.set(10, "", entry(t, "a", 3), bad)
-		book, stop := follow(t, store)
+		cache, stop := follow(t, store)
 		defer stop()
 		time.Sleep(time.Second)
-		require.Len(t, book.View().Endpoints, 1)
+		require.Len(t, cache.View().Endpoints, 1)
 	})
 }
 
@@ -264,11 +264,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &busyStore{started: time.Now(), perSecond: 2500}
 		store.set(0, "")
-		book, stop := follow(t, store)
+		cache, stop := follow(t, store)
 		defer stop()
 		time.Sleep(20 * time.Second)
 		newest := int64(0)
-		for _, e := range book.View().Endpoints {
+		for _, e := range cache.View().Endpoints {
 			newest = max(newest, e.Revision)
 		}
 		require.Less(t, store.newest()-newest, int64(store.perSecond), "the view is less than a second old")
@@ -291,15 +291,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &relayedStore{}
 		store.set(10, "", entry(t, "a", 3))
-		book, stop := follow(t, store)
+		cache, stop := follow(t, store)
 		defer stop()
 		time.Sleep(time.Second)
 		store.set(11, "", entry(t, "a", 3), entry(t, "b", 11))
-		for book.View().Endpoints["b"] == nil {
+		for cache.View().Endpoints["b"] == nil {
 			time.Sleep(5 * time.Millisecond)
 		}
 		store.set(12, "", entry(t, "c", 12))
 		time.Sleep(200 * time.Millisecond)
-		require.Contains(t, book.View().Endpoints, "c")
+		require.Contains(t, cache.View().Endpoints, "c")
 	})
 }
--- a/directory/era_test.go
+++ b/directory/era_test.go
@@ -28,16 +28,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{era: 1}
 		store.set(90, "", entry(t, "a", 3), entry(t, "b", 80))
-		book, stop := follow(t, store)
+		cache, stop := follow(t, store)
 		defer stop()
 		time.Sleep(3 * time.Second)
 		store.restore(50, entry(t, "a", 3), entry(t, "b", 40))
 		time.Sleep(3 * time.Second)
-		require.Equal(t, fleet.Position{Era: 2, Version: 50}, book.Read())
+		require.Equal(t, fleet.Position{Era: 2, Version: 50}, cache.Read())
 		lists := store.listed()
 		store.set(51, "", entry(t, "a", 3), fleet.Row{Table: "servers", Key: "b", Version: 51, Removed: true})
 		time.Sleep(3 * time.Second)
-		require.NotContains(t, book.View().Endpoints, "b")
+		require.NotContains(t, cache.View().Endpoints, "b")
 		require.Equal(t, lists, store.listed(), "the change is read without a new list")
 	})
 }
@@ -65,38 +65,38 @@
 		return changes
 	}
 	back := start.Add(10 * time.Second)
-	newBook := func() *directory.Cache {
-		book := directory.NewCache()
-		book.Apply(start, directory.Change{Endpoint: leaving}, directory.Change{Endpoint: gone}, directory.Change{ZoneOut: "a"})
-		book.Apply(start.Add(time.Second), directory.Change{Gone: "gone"})
-		book.StoreReturned(back)
-		book.Apply(back, restored(directory.Change{Endpoint: ready}, directory.Change{Endpoint: gone}, directory.Change{ZoneIn: "a"})...)
-		require.Equal(t, fleet.EndpointDraining, book.View().Endpoints["leaving"].State)
-		require.NotContains(t, book.View().Endpoints, "gone")
-		require.True(t, book.View().ZonesOut["a"])
-		return book
+	newCache := func() *directory.Cache {
+		cache := directory.NewCache()
+		cache.Apply(start, directory.Change{Endpoint: leaving}, directory.Change{Endpoint: gone}, directory.Change{ZoneOut: "a"})
+		cache.Apply(start.Add(time.Second), directory.Change{Gone: "gone"})
+		cache.StoreReturned(back)
+		cache.Apply(back, restored(directory.Change{Endpoint: ready}, directory.Change{Endpoint: gone}, directory.Change{ZoneIn: "a"})...)
+		require.Equal(t, fleet.EndpointDraining, cache.View().Endpoints["leaving"].State)
+		require.NotContains(t, cache.View().Endpoints, "gone")
+		require.True(t, cache.View().ZonesOut["a"])
+		return cache
 	}
 
-	book := newBook()
-	book.Apply(back.Add(time.Second), directory.Change{Gone: "gone"}, directory.Change{ZoneOut: "a"})
-	book.Expire(back.Add(time.Minute))
-	require.NotContains(t, book.View().Endpoints, "gone", "its entry has been removed again")
-	require.True(t, book.View().ZonesOut["a"], "the zone has been taken out again")
+	cache := newCache()
+	cache.Apply(back.Add(time.Second), directory.Change{Gone: "gone"}, directory.Change{ZoneOut: "a"})
+	cache.Expire(back.Add(time.Minute))
+	require.NotContains(t, cache.View().Endpoints, "gone", "its entry has been removed again")
+	require.True(t, cache.View().ZonesOut["a"], "the zone has been taken out again")
 
-	book = newBook()
-	book.Expire(back.Add(directory.RestoredGrace))
-	require.Contains(t, book.View().Endpoints, "gone", "it must be alive, as its entry is still there")
-	require.False(t, book.View().ZonesOut["a"], "nobody has taken the zone out again")
+	cache = newCache()
+	cache.Expire(back.Add(directory.RestoredGrace))
+	require.Contains(t, cache.View().Endpoints, "gone", "it must be alive, as its entry is still there")
+	require.False(t, cache.View().ZonesOut["a"], "nobody has taken the zone out again")
 	later := *ready
 	later.Sequence = 12
-	book.Apply(back.Add(time.Second), directory.Change{Endpoint: &later})
-	require.Equal(t, fleet.EndpointReady, book.View().Endpoints["leaving"].State, "the endpoint wrote a newer entry")
+	cache.Apply(back.Add(time.Second), directory.Change{Endpoint: &later})
+	require.Equal(t, fleet.EndpointReady, cache.View().Endpoints["leaving"].State, "the endpoint wrote a newer entry")
 
-	book = newBook()
+	cache = newCache()
 	reborn := *gone
 	reborn.Born = 6
-	book.Apply(back.Add(time.Second), restored(directory.Change{Endpoint: &reborn})...)
-	require.Contains(t, book.View().Endpoints, "gone", "the endpoint has restarted")
+	cache.Apply(back.Add(time.Second), restored(directory.Change{Endpoint: &reborn})...)
+	require.Contains(t, cache.View().Endpoints, "gone", "the endpoint has restarted")
 }
 
 // The same through the follower: the first list of a new era must not override newer known
@@ -109,14 +109,14 @@
 		}
 		store := &fakeStore{era: 1}
 		store.set(90, "", entry("a", "draining", 9, 88), entry("b", "ready", 4, 80))
-		book, stop := follow(t, store)
+		cache, stop := follow(t, store)
 		defer stop()
 		time.Sleep(3 * time.Second)
 		store.restore(50, entry("a", "ready", 7, 45), entry("b", "ready", 4, 40))
 		time.Sleep(3 * time.Second)
-		require.Equal(t, fleet.EndpointDraining, book.View().Endpoints["a"].State)
+		require.Equal(t, fleet.EndpointDraining, cache.View().Endpoints["a"].State)
 		store.set(51, "", entry("a", "ready", 12, 51), entry("b", "ready", 4, 40))
 		time.Sleep(3 * time.Second)
-		require.Equal(t, fleet.EndpointReady, book.View().Endpoints["a"].State)
+		require.Equal(t, fleet.EndpointReady, cache.View().Endpoints["a"].State)
 	})
 }
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -38,10 +38,10 @@
 	expireInterval = 200 * time.Millisecond
 )
 
-// Follower follows the store's tables and keeps a book up to date.
+// Follower follows the store's tables and keeps a cache up to date.
 type Follower struct {
 	store fleet.Store
-	book  *Cache
+	cache  *Cache
 	// urgent reports whether this node is waiting for endpoints to change.
 	urgent func() bool
 	// known is closed once this node knows the nodes that may read the store for it.
@@ -49,11 +49,11 @@
 }
 
 // NewFollower returns a follower. urgent may be nil.
-func NewFollower(store fleet.Store, book *Cache, urgent func() bool) *Follower {
+func NewFollower(store fleet.Store, cache *Cache, urgent func() bool) *Follower {
 	if urgent == nil {
 		urgent = func() bool { return false }
 	}
-	return &Follower{store: store, book: book, urgent: urgent}
+	return &Follower{store: store, cache: cache, urgent: urgent}
 }
 
 // WithKnown returns a follower that waits up to knownWait for known before its first
@@ -75,7 +75,7 @@
 		return f.follow(ctx, &feed{table: platform.TableEndpoints, decode: f.decodeEndpoint, missing: f.missingEndpoints,
 			interval: f.endpointsInterval})
 	})
-	g.Every("expire_endpoints", expireInterval, func(_ context.Context, now time.Time) { f.book.Expire(now) })
+	g.Every("expire_endpoints", expireInterval, func(_ context.Context, now time.Time) { f.cache.Expire(now) })
 }
 
 // awaitKnown waits until the neighbors are known, at most for knownWait.
@@ -165,12 +165,12 @@
 	}
 	now := time.Now()
 	if feed.answered(now, rows.At) {
-		f.book.StoreReturned(now)
+		f.cache.StoreReturned(now)
 	}
-	f.book.Apply(now, feed.changes(now, rows)...)
+	f.cache.Apply(now, feed.changes(now, rows)...)
 	feed.at, feed.listed = feed.at.Later(rows.At), true
 	if feed.table == platform.TableEndpoints {
-		f.book.NoteRead(rows.At)
+		f.cache.NoteRead(rows.At)
 	}
 	return rows, nil
 }
@@ -266,7 +266,7 @@
 
 // missingEndpoints returns changes for the known endpoints that a new list lacks.
 func (f *Follower) missingEndpoints(rows []fleet.Row) []Change {
-	ids, _ := f.book.Known()
+	ids, _ := f.cache.Known()
 	var changes []Change
 	for _, id := range missingNames(ids, rows, func(row fleet.Row) string { return row.Key }) {
 		changes = append(changes, Change{Gone: id})
@@ -276,7 +276,7 @@
 
 // missingOperators returns changes for the zones that a new list no longer takes out.
 func (f *Follower) missingOperators(rows []fleet.Row) []Change {
-	_, zones := f.book.Known()
+	_, zones := f.cache.Known()
 	var changes []Change
 	for _, zone := range missingNames(zones, rows, func(row fleet.Row) string { z, _ := platform.ZoneOut(row.Key); return z }) {
 		changes = append(changes, Change{ZoneIn: zone})
--- a/node/listen.go
+++ b/node/listen.go
@@ -54,7 +54,7 @@
 		}
 	}
 	g.Every("idle_connections", idleSweep, func(_ context.Context, now time.Time) {
-		if config := n.book.View().Config(); config != nil && config.Limits.IdleTimeout > 0 {
+		if config := n.cache.View().Config(); config != nil && config.Limits.IdleTimeout > 0 {
 			n.conns.closeIdle(now, config.Limits.IdleTimeout+idleSlack)
 		}
 	})
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -89,7 +89,7 @@
 // reportStalled tells the lease holder of an endpoint's zone that the endpoint's group makes
 // little progress.
 func (n *Node) reportStalled(endpointID string) {
-	e, ok := n.book.View().Endpoints[endpointID]
+	e, ok := n.cache.View().Endpoints[endpointID]
 	if !ok {
 		return
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -47,7 +47,7 @@
 	path     string // of the settings file; "" disables reloading
 	settings fleet.Settings
 	current  atomic.Pointer[fleet.Settings]
-	book     *directory.Cache
+	cache    *directory.Cache
 	tracker  *balance.Tracker
 	upstream *gateway.Upstream
 	gateway  *gateway.Gateway
@@ -73,7 +73,7 @@
 func New(path string, s fleet.Settings) *Node {
 	store := platform.NewStore(s.StoreAddress)
 	n := &Node{
-		path: path, settings: s, book: directory.NewCache(), tracker: balance.NewTracker(), upstream: gateway.NewUpstream(),
+		path: path, settings: s, cache: directory.NewCache(), tracker: balance.NewTracker(), upstream: gateway.NewUpstream(),
 		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), board: neighbor.NewBoard(),
 		backoff: relay.NewAvoided(dispatcherMinBackoff, dispatcherMaxBackoff),
 	}
@@ -86,7 +86,7 @@
 		Zones: s.Zones, FirstStart: s.FirstStart, Now: kernel.BootTime,
 	}, n.source)
 	n.manager = formation.NewManager(formation.Options{
-		Settings: n.currentSettings, Book: n.book, Orderer: platform.NewEngines(), Position: n.table.Position,
+		Settings: n.currentSettings, Book: n.cache, Orderer: platform.NewEngines(), Position: n.table.Position,
 		Holds:    func(zone string) bool { return n.table.HoldsLease(zone, kernel.BootTime()) },
 		HeldFrom: n.table.LeasePosition,
 		Settled:  n.table.Settled,
@@ -95,14 +95,14 @@
 		Running:  n.tracker.Running,
 	})
 	n.gateway = gateway.New(gateway.Options{
-		Settings: n.currentSettings, Book: n.book, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
+		Settings: n.currentSettings, Book: n.cache, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
 		Shares:   n.shares,
 		Stalled:  n.reportStalled,
 		Placer:   newZonePlacer(n),
 		Lender:   lender{n},
 		Stopping: n.plannedStop,
 	})
-	n.follower = directory.NewFollower(n.source, n.book, n.manager.Pending).WithKnown(n.table.Known())
+	n.follower = directory.NewFollower(n.source, n.cache, n.manager.Pending).WithKnown(n.table.Known())
 	return n
 }
 
@@ -197,7 +197,7 @@
 
 // ready reports whether the load balancer should send new connections to this node.
 func (n *Node) ready() bool {
-	return n.stopping.Load() == nil && n.book.View().Config() != nil
+	return n.stopping.Load() == nil && n.cache.View().Config() != nil
 }
 
 func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
--- a/node/placement.go
+++ b/node/placement.go
@@ -80,7 +80,7 @@
 // reserve chooses a group of this zone for another node's stream. It reports
 // false if this node doesn't know the service or the model.
 func (n *Node) reserve(now time.Time, request fleet.PlacementRequest) (fleet.Placement, bool) {
-	view := n.book.View()
+	view := n.cache.View()
 	service, ok := view.Service(request.Service)
 	if !ok || service.Engine == nil {
 		return fleet.Placement{}, false
