--- a/directory/follower.go
+++ b/directory/follower.go
@@ -41,7 +41,7 @@
 // Follower follows the store's tables and keeps a cache up to date.
 type Follower struct {
 	store fleet.Store
-	cache  *Cache
+	cache *Cache
 	// urgent reports whether this node is waiting for endpoints to change.
 	urgent func() bool
 	// known is closed once this node knows the nodes that may read the store for it.
