--- a/members/era_test.go
+++ b/members/era_test.go
@@ -133,7 +133,7 @@
 // After the store is restored from an older copy, holders must wait until the endpoints have
 // written their entries again, as they would form groups from outdated entries otherwise. A
 // node that starts later learns from the holder's record that the wait is over.
-func TestEraIsSettledAfterEntriesWereWrittenAgain(t *testing.T) {
+func TestEraIsRecoveredAfterEntriesWereWrittenAgain(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(10 * time.Second)
 	require.True(t, f.nodes["a1"].Settled(0))
@@ -151,5 +151,5 @@
 	}
 	f.start("a4", "a")
 	f.run(500 * time.Millisecond)
-	require.True(t, f.nodes["a4"].Settled(1), "settled according to the holder's record")
+	require.True(t, f.nodes["a4"].Settled(1), "recovered according to the holder's record")
 }
--- a/members/members.go
+++ b/members/members.go
@@ -91,8 +91,8 @@
 	// restoredAt is when this node noticed that the store was restored from an older copy.
 	restoredAt time.Time
 	eraSince   time.Time // when this node first read the table in listedEra
-	// settled is the newest era that is settled.
-	settled      atomic.Int64
+	// recoveredEra is the newest era that is recoveredEra.
+	recoveredEra atomic.Int64
 	renewTriedAt map[string]time.Time
 	// writeFailedAt is when this node last failed to write a lease, by zone.
 	writeFailedAt map[string]time.Time
@@ -176,7 +176,7 @@
 		t.announceFirst(ctx, boot)
 		return
 	}
-	t.settle(boot)
+	t.updateRecovered(boot)
 	if boot.Sub(t.listTriedAt) >= listInterval {
 		t.listTriedAt = boot
 		t.list(ctx)
@@ -220,7 +220,7 @@
 	}
 	t.readLeases(boot, rows.At.Era, byKey)
 	t.updateNodes(boot, byKey)
-	t.settle(boot)
+	t.updateRecovered(boot)
 	t.publishHeld()
 }
 
--- a/members/settle.go
+++ b/members/recovery.go
@@ -8,24 +8,24 @@
 	"redwinghall/fleet"
 )
 
-// settleTime is how long it takes, after the store was restored from an older copy, until
+// recoveryTime is how long it takes, after the store was restored from an older copy, until
 // every endpoint entry has been written again or has expired.
-const settleTime = 4500 * time.Millisecond
+const recoveryTime = 4500 * time.Millisecond
 
 // Settled reports whether the entries that the store lost before an era have been written again.
 //
 // The entries of a restored copy show VMs without the groups that they have joined since. A
 // holder that formed groups from them would join a VM to a second group while the first one
-// serves. Nodes that noticed the restore wait for settleTime; nodes that start later learn from
+// serves. Nodes that noticed the restore wait for recoveryTime; nodes that start later learn from
 // the lease holders' records that the wait is over.
-func (t *Table) Settled(era int64) bool { return t.settled.Load() == era }
+func (t *Table) Settled(era int64) bool { return t.recoveredEra.Load() == era }
 
 // noteEra records the era of the store in which the table was read. The caller holds t.mu.
 func (t *Table) noteEra(boot time.Time, at fleet.Position) {
 	first := t.firstAt.IsZero()
 	switch {
 	case first && t.config.FirstStart:
-		t.settled.Store(at.Era) // the store had no entries before
+		t.recoveredEra.Store(at.Era) // the store had no entries before
 	case !first && at.Era > t.listedEra:
 		t.noteRestore(boot, at)
 	}
@@ -46,20 +46,20 @@
 	t.announcedAt = time.Time{}
 }
 
-// settle updates which era of the store is settled. The caller holds t.mu.
-func (t *Table) settle(boot time.Time) {
+// updateRecovered updates the newest recovered era of the store. The caller holds t.mu.
+func (t *Table) updateRecovered(boot time.Time) {
 	if t.firstAt.IsZero() {
 		return
 	}
-	if boot.Sub(t.eraSince) >= settleTime {
-		t.settled.Store(t.listedEra)
+	if boot.Sub(t.eraSince) >= recoveryTime {
+		t.recoveredEra.Store(t.listedEra)
 	}
 	for _, state := range t.leases {
 		if state.Settled() == t.listedEra {
-			t.settled.Store(t.listedEra)
+			t.recoveredEra.Store(t.listedEra)
 		}
 	}
 	for zone, state := range t.leases {
-		t.leases[zone] = state.WithSettled(t.settled.Load())
+		t.leases[zone] = state.WithSettled(t.recoveredEra.Load())
 	}
 }
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -45,11 +45,11 @@
 	n.backoff.Failed(now, peer.Name)
 }
 
-// handleShare processes a load report from another node of the zone.
-func (n *Node) handleShare(now time.Time, node string, settled uint64) {
+// onLoads processes a load report from another node of the zone.
+func (n *Node) onLoads(now time.Time, node string, settled uint64) {
 	n.tracker.Settle(node, settled)
 	if n.collectsLoads(now) {
-		n.applyBoard(now)
+		n.applyLoads(now)
 	}
 }
 
@@ -59,8 +59,8 @@
 	return ok && first.Name == n.settings.Node
 }
 
-// applyBoard updates the tracker with the other nodes' and zones' loads from the board.
-func (n *Node) applyBoard(now time.Time) {
-	n.tracker.SetOthers(now, n.board.Others(now, n.settings.Node))
-	n.tracker.SetZones(now, n.board.Zones(now))
+// applyLoads updates the tracker with the other nodes' and zones' loads.
+func (n *Node) applyLoads(now time.Time) {
+	n.tracker.SetOthers(now, n.loads.Others(now, n.settings.Node))
+	n.tracker.SetZones(now, n.loads.Zones(now))
 }
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -60,9 +60,9 @@
 	return &http.Server{
 		Addr: n.internalAddress(), ReadHeaderTimeout: internalHeaderTimeout,
 		Handler: neighbor.NewHandler(neighbor.Parts{
-			Mirror: n.source.Mirror, Board: n.board, Suspect: n.manager.Stalled,
-			Commit: n.source.CommitDirect, Reserve: n.reserve, Told: n.handleShare,
-			Limits: n.tracker, Permit: n.lend,
+			Mirror: n.source.Mirror, Board: n.loads, Suspect: n.manager.Stalled,
+			Commit: n.source.CommitDirect, Reserve: n.reserve, Told: n.onLoads,
+			Limits: n.tracker, Permit: n.issuePermit,
 		}),
 	}
 }
@@ -79,7 +79,7 @@
 			if !ok || !n.collectsLoads(now) {
 				return
 			}
-			if err := n.neighbors.ShareZone(ctx, theirs.Address, n.settings.Zone, n.board.Zone(now), n.tracker.ChangedLimits(now)); err != nil {
+			if err := n.neighbors.ShareZone(ctx, theirs.Address, n.settings.Zone, n.loads.Zone(now), n.tracker.ChangedLimits(now)); err != nil {
 				n.noteSilent(time.Now(), zone, theirs, err)
 			}
 		})
--- a/node/node.go
+++ b/node/node.go
@@ -58,7 +58,7 @@
 	// source is the store as read through the zone's reader nodes.
 	source    *relay.Source
 	neighbors *neighbor.Client
-	board     *neighbor.Board
+	loads     *neighbor.Board // loads reported by the nodes of this zone and by other zones
 	group     *kernel.Group
 	stopping  atomic.Pointer[gateway.Stop] // nil unless a planned stop is under way
 	conns     *connections
@@ -74,7 +74,7 @@
 	store := platform.NewStore(s.StoreAddress)
 	n := &Node{
 		path: path, settings: s, cache: directory.NewCache(), tracker: balance.NewTracker(), upstream: gateway.NewUpstream(),
-		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), board: neighbor.NewBoard(),
+		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), loads: neighbor.NewBoard(),
 		backoff: relay.NewAvoided(dispatcherMinBackoff, dispatcherMaxBackoff),
 	}
 	n.source = relay.NewSource(relay.Config{
@@ -99,7 +99,7 @@
 		Shares:   n.shares,
 		Stalled:  n.reportStalled,
 		Placer:   newZonePlacer(n),
-		Lender:   lender{n},
+		Lender:   permitIssuer{n},
 		Stopping: n.plannedStop,
 	})
 	n.follower = directory.NewFollower(n.source, n.cache, n.manager.Pending).WithKnown(n.table.Known())
--- a/node/permit.go
+++ b/node/permit.go
@@ -12,22 +12,22 @@
 	"redwinghall/relay"
 )
 
-// lender obtains permits for requests to endpoints that announced a limit.
-type lender struct{ node *Node }
+// permitIssuer obtains permits for requests to endpoints that announced a rate limit.
+type permitIssuer struct{ node *Node }
 
-var _ gateway.Lender = lender{}
+var _ gateway.Lender = permitIssuer{}
 
-// Permit implements gateway.Lender. Permits are lent by the first responsive node in
+// Permit implements gateway.Lender. Permits are issued by the first responsive node in
 // the rank order of the endpoint's zone. A node that can't reach it sends no request
 // to the endpoint.
-func (l lender) Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (balance.Permit, bool) {
-	n := l.node
-	peer, ok := n.backoff.First(time.Now(), n.lenders(e.Zone))
+func (i permitIssuer) Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (balance.Permit, bool) {
+	n := i.node
+	peer, ok := n.backoff.First(time.Now(), n.permitIssuers(e.Zone))
 	switch {
 	case !ok:
 		return balance.Permit{}, false
 	case peer.Name == n.settings.Node:
-		return n.lend(time.Now(), e.Zone, known), true
+		return n.issuePermit(time.Now(), e.Zone, known), true
 	}
 	permit, err := n.neighbors.Permit(ctx, peer.Address, e.Zone, known)
 	if err == nil {
@@ -40,13 +40,13 @@
 	return balance.Permit{}, false
 }
 
-// lend returns a permit for one request to an endpoint of a zone.
+// issuePermit returns a permit for one request to an endpoint of a zone.
 //
 // A node that has just started knows no other nodes and would rank itself first. If all
-// nodes started together, each of them would lend the whole limit. So a node lends
-// nothing before it knows the others.
-func (n *Node) lend(now time.Time, zone string, known balance.LimitWord) balance.Permit {
-	share := n.lenderShare(zone)
+// nodes started together, each of them would issue permits for the whole limit. So a node
+// issues none before it knows the others.
+func (n *Node) issuePermit(now time.Time, zone string, known balance.LimitWord) balance.Permit {
+	share := n.permitShare(zone)
 	if share == 0 {
 		klog.InfoS("not_lent", "endpoint", known.Endpoint, "zone", zone)
 		return balance.Permit{Limit: known}
@@ -54,22 +54,22 @@
 	return n.tracker.Lend(now, known, share)
 }
 
-// lenders returns the nodes that may lend permits for a zone's endpoints, in rank order:
+// permitIssuers returns the nodes that may issue permits for a zone's endpoints, in rank order:
 // the zone's own nodes, which see the traffic from the zone, or all nodes if it has none.
-func (n *Node) lenders(zone string) []relay.Peer {
+func (n *Node) permitIssuers(zone string) []relay.Peer {
 	if peers := n.peersOf(zone); len(peers) > 0 {
 		return peers
 	}
 	return relay.Ranked(append(n.peers(), n.otherZonePeers()...), relay.Dispatching)
 }
 
-// lenderShare returns the fraction of a limit that this node may lend for endpoints of a
-// zone, or 0 if it may not lend.
-func (n *Node) lenderShare(zone string) float64 {
+// permitShare returns the fraction of a limit for which this node may issue permits to
+// endpoints of a zone, or 0 if it may not issue any.
+func (n *Node) permitShare(zone string) float64 {
 	if !n.knowsMembers() {
 		return 0
 	}
-	for place, one := range n.lenders(zone) {
+	for place, one := range n.permitIssuers(zone) {
 		if one.Name == n.settings.Node {
 			return balance.LenderShare(place)
 		}
--- a/node/placement.go
+++ b/node/placement.go
@@ -101,7 +101,7 @@
 	ask := balance.Ask{
 		Service: service, Model: model, Zone: n.settings.Zone, Prompt: request.Prompt, Objective: request.Objective, Tried: tried,
 		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), Dispatches: n.dispatches(now), GoesOn: request.GoesOn,
-		Lends: n.lenderShare(n.settings.Zone),
+		Lends: n.permitShare(n.settings.Zone),
 	}
 	choice, none := n.tracker.Reserve(now, heads, view.ZonesOut, ask, balance.Claimant{Node: request.Node, Ticket: request.Ticket})
 	if none == nil {
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -53,52 +53,52 @@
 func (s *sharer) share(ctx context.Context, now time.Time) {
 	n := s.node
 	// Settled is read first, so that the loads include every settled ticket.
-	word := neighbor.Word{
+	report := neighbor.Word{
 		Node: n.settings.Node, Settled: n.tracker.Tickets.Settled(), Loads: n.tracker.Own(now), Limits: n.tracker.HeardLimits(now),
 	}
-	if !s.due(now, word) {
+	if !s.due(now, report) {
 		return
 	}
-	s.sentAt, s.sentLoads, s.sentLimits = now, word.Loads, len(word.Limits)
+	s.sentAt, s.sentLoads, s.sentLimits = now, report.Loads, len(report.Limits)
 	if n.collectsLoads(now) {
-		n.board.Put(now, word.Node, word.Loads)
-		n.applyBoard(now)
-		s.learnLimits(ctx, now, word)
+		n.loads.Put(now, report.Node, report.Loads)
+		n.applyLoads(now)
+		s.learnLimits(ctx, now, report)
 		return
 	}
 	if peer, ok := n.backoff.First(now, n.peers()); ok {
-		s.exchange(ctx, now, peer, word)
+		s.exchange(ctx, now, peer, report)
 	}
 }
 
 // learnLimits fetches all limits from another node if this node collects loads and has
 // just started.
-func (s *sharer) learnLimits(ctx context.Context, now time.Time, word neighbor.Word) {
+func (s *sharer) learnLimits(ctx context.Context, now time.Time, report neighbor.Word) {
 	if s.limitsFrom != "" {
 		return
 	}
 	for _, peer := range s.node.peers() {
 		if peer.Name != s.node.settings.Node && !s.node.backoff.Has(now, peer.Name) {
-			s.exchange(ctx, now, peer, word)
+			s.exchange(ctx, now, peer, report)
 			return
 		}
 	}
 }
 
-// due reports whether a report has changed since the last one, or the last one is too old.
-func (s *sharer) due(now time.Time, word neighbor.Word) bool {
+// due reports whether a load report differs from the last one sent, or the last one is too old.
+func (s *sharer) due(now time.Time, report neighbor.Word) bool {
 	return now.Sub(s.sentAt) >= time.Duration(len(s.node.peers()))*sharePerNode ||
-		!maps.Equal(s.sentLoads, word.Loads) || s.sentLimits != len(word.Limits)
+		!maps.Equal(s.sentLoads, report.Loads) || s.sentLimits != len(report.Limits)
 }
 
-// exchange sends a report to the collecting node and applies its response.
-func (s *sharer) exchange(ctx context.Context, now time.Time, peer relay.Peer, word neighbor.Word) {
+// exchange sends a load report to the collecting node and applies its response.
+func (s *sharer) exchange(ctx context.Context, now time.Time, peer relay.Peer, report neighbor.Word) {
 	n := s.node
 	_, dispatched := n.dispatcher(now, n.settings.Zone)
-	word.WithOthers = !dispatched || now.Sub(s.othersReceivedAt) >= othersInterval
-	word.WithZones = n.tracker.LooksFar(now) && now.Sub(s.zonesReceivedAt) >= zonesInterval
-	word.WithLimits = peer.Name != s.limitsFrom
-	shared, err := n.neighbors.Share(ctx, peer.Address, word)
+	report.WithOthers = !dispatched || now.Sub(s.othersReceivedAt) >= othersInterval
+	report.WithZones = n.tracker.LooksFar(now) && now.Sub(s.zonesReceivedAt) >= zonesInterval
+	report.WithLimits = peer.Name != s.limitsFrom
+	shared, err := n.neighbors.Share(ctx, peer.Address, report)
 	if err != nil {
 		n.noteSilent(time.Now(), n.settings.Zone, peer, err)
 		return
@@ -106,11 +106,11 @@
 	received := time.Now()
 	s.limitsFrom = peer.Name
 	n.tracker.LearnLimits(received, shared.Limits)
-	if word.WithOthers {
+	if report.WithOthers {
 		s.othersReceivedAt = now
 		n.tracker.SetOthers(received, shared.Others)
 	}
-	if word.WithZones {
+	if report.WithZones {
 		s.zonesReceivedAt = now
 		n.tracker.SetZones(received, shared.Zones)
 	}
