--- a/members/era_test.go
+++ b/members/era_test.go
@@ -136,20 +136,20 @@
 func TestEraIsRecoveredAfterEntriesWereWrittenAgain(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(10 * time.Second)
-	require.True(t, f.nodes["a1"].Settled(0))
+	require.True(t, f.nodes["a1"].Recovered(0))
 	kept := f.store.copy()
 	f.run(2 * time.Second)
 	f.store.restore(kept)
 	f.start("a3", "a")
 	f.run(4 * time.Second)
 	for name, node := range f.nodes {
-		require.False(t, node.Settled(1), name)
+		require.False(t, node.Recovered(1), name)
 	}
 	f.run(6 * time.Second)
 	for name, node := range f.nodes {
-		require.True(t, node.Settled(1), name)
+		require.True(t, node.Recovered(1), name)
 	}
 	f.start("a4", "a")
 	f.run(500 * time.Millisecond)
-	require.True(t, f.nodes["a4"].Settled(1), "recovered according to the holder's record")
+	require.True(t, f.nodes["a4"].Recovered(1), "recovered according to the holder's record")
 }
--- a/members/recovery.go
+++ b/members/recovery.go
@@ -12,13 +12,13 @@
 // every endpoint entry has been written again or has expired.
 const recoveryTime = 4500 * time.Millisecond
 
-// Settled reports whether the entries that the store lost before an era have been written again.
+// Recovered reports whether the entries that the store lost before an era have been written again.
 //
 // The entries of a restored copy show VMs without the groups that they have joined since. A
 // holder that formed groups from them would join a VM to a second group while the first one
 // serves. Nodes that noticed the restore wait for recoveryTime; nodes that start later learn from
 // the lease holders' records that the wait is over.
-func (t *Table) Settled(era int64) bool { return t.recoveredEra.Load() == era }
+func (t *Table) Recovered(era int64) bool { return t.recoveredEra.Load() == era }
 
 // noteEra records the era of the store in which the table was read. The caller holds t.mu.
 func (t *Table) noteEra(boot time.Time, at fleet.Position) {
--- a/node/node.go
+++ b/node/node.go
@@ -89,7 +89,7 @@
 		Settings: n.currentSettings, Book: n.cache, Orderer: platform.NewEngines(), Position: n.table.Position,
 		Holds:    func(zone string) bool { return n.table.HoldsLease(zone, kernel.BootTime()) },
 		HeldFrom: n.table.LeasePosition,
-		Settled:  n.table.Settled,
+		Settled:  n.table.Recovered,
 		Begun:    func() bool { return n.gateway.Served() > 0 },
 		Moves:    n.tracker.Moves,
 		Running:  n.tracker.Running,
