--- a/directory/era_test.go
+++ b/directory/era_test.go
@@ -53,11 +53,11 @@
 // again or the grace is over.
 func TestRestoredCopyUndoesNothingBeforeItsGrace(t *testing.T) {
 	leaving := endpoint("leaving")
-	leaving.Born, leaving.Sequence, leaving.State = 5, 9, fleet.EndpointDraining
+	leaving.StartedMillis, leaving.Sequence, leaving.State = 5, 9, fleet.EndpointDraining
 	ready := endpoint("leaving")
-	ready.Born, ready.Sequence = 5, 7
+	ready.StartedMillis, ready.Sequence = 5, 7
 	gone := endpoint("gone")
-	gone.Born, gone.Sequence = 5, 3
+	gone.StartedMillis, gone.Sequence = 5, 3
 	restored := func(changes ...directory.Change) []directory.Change {
 		for i := range changes {
 			changes[i].Restored = true
@@ -94,7 +94,7 @@
 
 	cache = newCache()
 	reborn := *gone
-	reborn.Born = 6
+	reborn.StartedMillis = 6
 	cache.Apply(back.Add(time.Second), restored(directory.Change{Endpoint: &reborn})...)
 	require.Contains(t, cache.View().Endpoints, "gone", "the endpoint has restarted")
 }
--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -72,10 +72,10 @@
 
 func farmEngine() *fleet.Engine {
 	return &fleet.Engine{
-		Slots: 26, Stride: 6, LoadsPerSecond: 5.5, LoadsAtOnce: 8, Formation: 300 * time.Millisecond,
+		Slots: 26, Stride: 6, LoadsPerSecond: 5.5, LoadsAtOnce: 8, FormationTime: 300 * time.Millisecond,
 		Models: []fleet.Model{
-			{Name: "large", Size: 6, Share: 0.67, Pace: 1, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-			{Name: "small", Size: 3, Share: 0.33, Pace: 0.6, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+			{Name: "large", Size: 6, Share: 0.67, TimeFactor: 1, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
+			{Name: "small", Size: 3, Share: 0.33, TimeFactor: 0.6, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
 		},
 	}
 }
@@ -106,7 +106,7 @@
 
 func (f *farm) add(id, domain string) {
 	w := &farmWorker{Endpoint: fleet.Endpoint{
-		ID: id, Service: farmService, Address: id + ":80", Zone: "z", State: fleet.EndpointReady, Domain: domain, Born: 1,
+		ID: id, Service: farmService, Address: id + ":80", Zone: "z", State: fleet.EndpointReady, Domain: domain, StartedMillis: 1,
 	}}
 	f.workers[id] = w
 	time.AfterFunc(f.lag, func() {
@@ -274,11 +274,11 @@
 
 // carryOutLate lets a worker's process carry an order out 2 to 12 s later.
 func (f *farm) carryOutLate(w *farmWorker, o fleet.Order) {
-	late, born := 2*time.Second+time.Duration(f.random.Float64()*10*float64(time.Second)), w.Born
+	late, born := 2*time.Second+time.Duration(f.random.Float64()*10*float64(time.Second)), w.StartedMillis
 	time.AfterFunc(late, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if !w.dead && w.Born == born {
+		if !w.dead && w.StartedMillis == born {
 			f.carryOut(w, o)
 		}
 	})
@@ -322,7 +322,7 @@
 	f.checkWhole(w)
 	w.opening = true
 	group := w.Member.Group
-	time.AfterFunc(f.engine.Formation, func() {
+	time.AfterFunc(f.engine.FormationTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if w.opening && w.Member.Group == group && !w.dead {
@@ -357,7 +357,7 @@
 	for _, ready := range f.ready {
 		delete(ready, id)
 	}
-	w.Born++
+	w.StartedMillis++
 	w.Member, w.members, w.Models, w.last, w.opening = fleet.Membership{}, nil, nil, "", false
 	w.highest = 0
 }
@@ -411,11 +411,11 @@
 		return false
 	}
 	f.staged++
-	born := w.Born
+	born := w.StartedMillis
 	time.AfterFunc(model.Load, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if !w.dead && w.Born == born {
+		if !w.dead && w.StartedMillis == born {
 			w.Staged = []string{o.Model}
 			f.show(w)
 		}
@@ -462,7 +462,7 @@
 	if err != nil {
 		return fleet.Report{}, err
 	}
-	return fleet.Report{Member: w.Member, Models: w.Models, Staged: w.Staged, Pace: max(1, w.slow), Born: w.Born}, nil
+	return fleet.Report{Member: w.Member, Models: w.Models, Staged: w.Staged, TimeFactor: max(1, w.slow), StartedMillis: w.StartedMillis}, nil
 }
 
 // Healthy implements fleet.Orderer.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -54,18 +54,18 @@
 func (p *placer) Place(_ context.Context, zone string, _ fleet.PlacementRequest) (fleet.Placement, bool) {
 	p.asked = append(p.asked, zone)
 	id, ok := p.offers[zone]
-	return fleet.Placement{Endpoint: id, Predicted: 100 * time.Millisecond, Elsewhere: p.elsewhere}, ok
+	return fleet.Placement{Endpoint: id, Predicted: 100 * time.Millisecond, AlternativeZone: p.elsewhere}, ok
 }
 
 func engine() *fleet.Engine {
 	return &fleet.Engine{
-		Slots: 26, Step: 6 * time.Millisecond, ReadPerSecond: 56100, Chunk: 2048, Stride: 6, UsualPrompt: 1000, UsualAnswer: 100,
-		Models: []fleet.Model{{Name: "m0", Size: 1, Share: 1, Pace: 1}},
+		Slots: 26, Step: 6 * time.Millisecond, ReadPerSecond: 56100, Chunk: 2048, Stride: 6, MeanPromptTokens: 1000, MeanAnswerTokens: 100,
+		Models: []fleet.Model{{Name: "m0", Size: 1, Share: 1, TimeFactor: 1}},
 	}
 }
 
 func configuration() *fleet.Configuration {
-	route := func(name, prefix, service string, kind fleet.Kind, attempts int) fleet.Route {
+	route := func(name, prefix, service string, kind fleet.RouteKind, attempts int) fleet.Route {
 		return fleet.Route{
 			Name: name, Host: "a.example", Prefix: prefix, Kind: kind, Timeout: 3 * time.Second, Objective: 400 * time.Millisecond,
 			MaxAttempts: attempts, Resumable: kind == fleet.Streaming, Split: []fleet.Share{{Service: service, Weight: 1}},
--- a/members/members.go
+++ b/members/members.go
@@ -91,7 +91,7 @@
 	// restoredAt is when this node noticed that the store was restored from an older copy.
 	restoredAt time.Time
 	eraSince   time.Time // when this node first read the table in listedEra
-	// recoveredEra is the newest era that is recoveredEra.
+	// recoveredEra is the newest era in which the lost entries have been written again.
 	recoveredEra atomic.Int64
 	renewTriedAt map[string]time.Time
 	// writeFailedAt is when this node last failed to write a lease, by zone.
@@ -249,7 +249,7 @@
 	}
 	rank := 0
 	for _, node := range *t.nodes.Load() {
-		if node.Zone == t.config.Self.Zone && relay.Before(node.Peer(), t.config.Self.Peer(), relay.Reading) {
+		if node.Zone == t.config.Self.Zone && relay.PreferredFor(node.Peer(), t.config.Self.Peer(), relay.Reader) {
 			rank++
 		}
 	}
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -30,7 +30,7 @@
 	if len(peers) <= maxNodesWithoutDispatcher {
 		return relay.Peer{}, false
 	}
-	return n.backoff.First(now, peers)
+	return n.backoff.FirstAvailable(now, peers)
 }
 
 // dispatches reports whether this node chooses groups for all nodes of its zone.
@@ -42,7 +42,7 @@
 // noteSilent starts or extends the backoff for a dispatcher that did not respond.
 func (n *Node) noteSilent(now time.Time, zone string, peer relay.Peer, err error) {
 	klog.InfoS("dispatcher_silent", "zone", zone, "node", peer.Name, "err", err)
-	n.backoff.Failed(now, peer.Name)
+	n.backoff.RecordFailure(now, peer.Name)
 }
 
 // onLoads processes a load report from another node of the zone.
@@ -55,12 +55,12 @@
 
 // collectsLoads reports whether the nodes of this zone report their loads to this node.
 func (n *Node) collectsLoads(now time.Time) bool {
-	first, ok := n.backoff.First(now, n.peers())
+	first, ok := n.backoff.FirstAvailable(now, n.peers())
 	return ok && first.Name == n.settings.Node
 }
 
 // applyLoads updates the tracker with the other nodes' and zones' loads.
 func (n *Node) applyLoads(now time.Time) {
-	n.tracker.SetOthers(now, n.loads.Others(now, n.settings.Node))
-	n.tracker.SetZones(now, n.loads.Zones(now))
+	n.tracker.SetOthers(now, n.loads.SumOfOthers(now, n.settings.Node))
+	n.tracker.SetZones(now, n.loads.SumOfOtherZones(now))
 }
--- a/node/listen.go
+++ b/node/listen.go
@@ -34,11 +34,11 @@
 // listen opens all listeners, so that a port in use is reported at startup.
 func (n *Node) listen(g *kernel.Group) error {
 	callers := &http.Server{
-		Addr: n.settings.Callers, Handler: n.conns.wrap(n.gateway, n.plannedStop),
+		Addr: n.settings.CallerAddress, Handler: n.conns.wrap(n.gateway, n.plannedStop),
 		ReadHeaderTimeout: callerHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: n.conns.connState, ConnContext: n.conns.connContext,
 	}
-	readiness := &http.Server{Addr: n.settings.Readiness, Handler: n.statusRoutes(), ReadHeaderTimeout: internalHeaderTimeout}
+	readiness := &http.Server{Addr: n.settings.ReadinessAddress, Handler: n.statusRoutes(), ReadHeaderTimeout: internalHeaderTimeout}
 	metricsServer := &http.Server{
 		Addr:    net.JoinHostPort(n.settings.IP, strconv.Itoa(MetricsPort)),
 		Handler: n.statusRoutes(), ReadHeaderTimeout: internalHeaderTimeout,
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -22,7 +22,7 @@
 
 // sameValue returns how the row values of a table are compared. It returns nil for
 // the members' table, where every write counts as it shows that a node is alive.
-func sameValue(table string) relay.SameValue {
+func sameValue(table string) relay.EqualValues {
 	if table == platform.TableEndpoints {
 		return platform.SameEntry
 	}
@@ -59,9 +59,9 @@
 func (n *Node) neighborServer() *http.Server {
 	return &http.Server{
 		Addr: n.internalAddress(), ReadHeaderTimeout: internalHeaderTimeout,
-		Handler: neighbor.NewHandler(neighbor.Parts{
-			Mirror: n.source.Mirror, Board: n.loads, Suspect: n.manager.Stalled,
-			Commit: n.source.CommitDirect, Reserve: n.reserve, Told: n.onLoads,
+		Handler: neighbor.NewHandler(neighbor.ServerConfig{
+			Mirror: n.source.Mirror, Loads: n.loads, Suspect: n.manager.Stalled,
+			Commit: n.source.CommitDirect, Reserve: n.reserve, OnLoads: n.onLoads,
 			Limits: n.tracker, Permit: n.issuePermit,
 		}),
 	}
@@ -75,11 +75,11 @@
 			continue
 		}
 		g.Every("share_zone "+zone, zoneInterval, func(ctx context.Context, now time.Time) {
-			theirs, ok := n.backoff.First(now, n.peersOf(zone))
+			theirs, ok := n.backoff.FirstAvailable(now, n.peersOf(zone))
 			if !ok || !n.collectsLoads(now) {
 				return
 			}
-			if err := n.neighbors.ShareZone(ctx, theirs.Address, n.settings.Zone, n.loads.Zone(now), n.tracker.ChangedLimits(now)); err != nil {
+			if err := n.neighbors.ShareZone(ctx, theirs.Address, n.settings.Zone, n.loads.SumOfZone(now), n.tracker.ChangedLimits(now)); err != nil {
 				n.noteSilent(time.Now(), zone, theirs, err)
 			}
 		})
--- a/node/node.go
+++ b/node/node.go
@@ -58,13 +58,13 @@
 	// source is the store as read through the zone's reader nodes.
 	source    *relay.Source
 	neighbors *neighbor.Client
-	loads     *neighbor.Board // loads reported by the nodes of this zone and by other zones
+	loads     *neighbor.LoadTable // loads reported by the nodes of this zone and by other zones
 	group     *kernel.Group
 	stopping  atomic.Pointer[gateway.Stop] // nil unless a planned stop is under way
 	conns     *connections
 	rosters   rosterCache
 	// backoff tracks dispatchers that failed to respond.
-	backoff *relay.Avoided
+	backoff *relay.PeerBackoff
 	callers net.Listener
 }
 
@@ -74,11 +74,11 @@
 	store := platform.NewStore(s.StoreAddress)
 	n := &Node{
 		path: path, settings: s, cache: directory.NewCache(), tracker: balance.NewTracker(), upstream: gateway.NewUpstream(),
-		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), loads: neighbor.NewBoard(),
-		backoff: relay.NewAvoided(dispatcherMinBackoff, dispatcherMaxBackoff),
+		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), loads: neighbor.NewLoadTable(),
+		backoff: relay.NewPeerBackoff(dispatcherMinBackoff, dispatcherMaxBackoff),
 	}
 	n.source = relay.NewSource(relay.Config{
-		Store: store, Asker: n.neighbors, Self: s.Node, Peers: n.peers, Others: n.otherZonePeers, Leader: n.leader, Same: sameValue,
+		Store: store, PeerClient: n.neighbors, Self: s.Node, Peers: n.peers, RemotePeers: n.otherZonePeers, Leader: n.leader, EqualFor: sameValue,
 	})
 	n.current.Store(&s)
 	n.table = members.NewTable(members.Config{
@@ -130,7 +130,7 @@
 		g.Stop()
 		return err
 	}
-	klog.InfoS("node_started", "node", n.settings.Node, "zone", n.settings.Zone, "callers", n.settings.Callers,
+	klog.InfoS("node_started", "node", n.settings.Node, "zone", n.settings.Zone, "callers", n.settings.CallerAddress,
 		"store", n.settings.StoreAddress, "first_start", n.settings.FirstStart)
 	n.table.Start(g)
 	n.follower.Start(g)
--- a/node/permit.go
+++ b/node/permit.go
@@ -22,7 +22,7 @@
 // to the endpoint.
 func (i permitIssuer) Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (balance.Permit, bool) {
 	n := i.node
-	peer, ok := n.backoff.First(time.Now(), n.permitIssuers(e.Zone))
+	peer, ok := n.backoff.FirstAvailable(time.Now(), n.permitIssuers(e.Zone))
 	switch {
 	case !ok:
 		return balance.Permit{}, false
@@ -31,7 +31,7 @@
 	}
 	permit, err := n.neighbors.Permit(ctx, peer.Address, e.Zone, known)
 	if err == nil {
-		n.backoff.Worked(peer.Name)
+		n.backoff.RecordSuccess(peer.Name)
 		return permit, true
 	}
 	if ctx.Err() == nil { // otherwise the caller canceled the request
@@ -60,7 +60,7 @@
 	if peers := n.peersOf(zone); len(peers) > 0 {
 		return peers
 	}
-	return relay.Ranked(append(n.peers(), n.otherZonePeers()...), relay.Dispatching)
+	return relay.RankPeers(append(n.peers(), n.otherZonePeers()...), relay.Dispatcher)
 }
 
 // permitShare returns the fraction of a limit for which this node may issue permits to
--- a/node/placement.go
+++ b/node/placement.go
@@ -45,7 +45,7 @@
 	request.Node = p.node.settings.Node
 	placement, err := p.node.neighbors.Reserve(ctx, peer.Address, request)
 	if err == nil {
-		p.node.backoff.Worked(peer.Name)
+		p.node.backoff.RecordSuccess(peer.Name)
 		return placement, true
 	}
 	if ctx.Err() == nil { // otherwise the caller canceled the request
@@ -57,7 +57,7 @@
 
 // target returns the node that chooses for a zone: its dispatcher, or the node that collects its loads.
 func (p *zonePlacer) target(now time.Time, zone string) (relay.Peer, bool) {
-	return p.node.backoff.First(now, p.node.peersOf(zone))
+	return p.node.backoff.FirstAvailable(now, p.node.peersOf(zone))
 }
 
 func (p *zonePlacer) paused(now time.Time, zone string) bool {
@@ -93,14 +93,14 @@
 	for _, id := range request.Tried {
 		tried[id] = true
 	}
-	for _, id := range request.Shunned {
+	for _, id := range request.InBackoff {
 		tried[id] = true
 		n.tracker.Complain(now, id, request.Node)
 	}
 	heads := view.Heads(request.Service, request.Model)
 	ask := balance.Ask{
 		Service: service, Model: model, Zone: n.settings.Zone, Prompt: request.Prompt, Objective: request.Objective, Tried: tried,
-		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), Dispatches: n.dispatches(now), GoesOn: request.GoesOn,
+		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), Dispatches: n.dispatches(now), GoesOn: request.Resumed,
 		Lends: n.permitShare(n.settings.Zone),
 	}
 	choice, none := n.tracker.Reserve(now, heads, view.ZonesOut, ask, balance.Claimant{Node: request.Node, Ticket: request.Ticket})
@@ -112,7 +112,7 @@
 		placement.LimitedFor = none.RetryAfter
 	}
 	if request.Ticket > 0 { // otherwise the request is from another zone, whose node asks the other zones itself
-		placement.Elsewhere = n.tracker.Elsewhere(now, heads, view.ZonesOut, ask)
+		placement.AlternativeZone = n.tracker.Elsewhere(now, heads, view.ZonesOut, ask)
 	}
 	return placement, true
 }
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -53,7 +53,7 @@
 func (s *sharer) share(ctx context.Context, now time.Time) {
 	n := s.node
 	// Settled is read first, so that the loads include every settled ticket.
-	report := neighbor.Word{
+	report := neighbor.LoadReport{
 		Node: n.settings.Node, Settled: n.tracker.Tickets.Settled(), Loads: n.tracker.Own(now), Limits: n.tracker.HeardLimits(now),
 	}
 	if !s.due(now, report) {
@@ -61,24 +61,24 @@
 	}
 	s.sentAt, s.sentLoads, s.sentLimits = now, report.Loads, len(report.Limits)
 	if n.collectsLoads(now) {
-		n.loads.Put(now, report.Node, report.Loads)
+		n.loads.SetNode(now, report.Node, report.Loads)
 		n.applyLoads(now)
 		s.learnLimits(ctx, now, report)
 		return
 	}
-	if peer, ok := n.backoff.First(now, n.peers()); ok {
+	if peer, ok := n.backoff.FirstAvailable(now, n.peers()); ok {
 		s.exchange(ctx, now, peer, report)
 	}
 }
 
 // learnLimits fetches all limits from another node if this node collects loads and has
 // just started.
-func (s *sharer) learnLimits(ctx context.Context, now time.Time, report neighbor.Word) {
+func (s *sharer) learnLimits(ctx context.Context, now time.Time, report neighbor.LoadReport) {
 	if s.limitsFrom != "" {
 		return
 	}
 	for _, peer := range s.node.peers() {
-		if peer.Name != s.node.settings.Node && !s.node.backoff.Has(now, peer.Name) {
+		if peer.Name != s.node.settings.Node && !s.node.backoff.InBackoff(now, peer.Name) {
 			s.exchange(ctx, now, peer, report)
 			return
 		}
@@ -86,13 +86,13 @@
 }
 
 // due reports whether a load report differs from the last one sent, or the last one is too old.
-func (s *sharer) due(now time.Time, report neighbor.Word) bool {
+func (s *sharer) due(now time.Time, report neighbor.LoadReport) bool {
 	return now.Sub(s.sentAt) >= time.Duration(len(s.node.peers()))*sharePerNode ||
 		!maps.Equal(s.sentLoads, report.Loads) || s.sentLimits != len(report.Limits)
 }
 
 // exchange sends a load report to the collecting node and applies its response.
-func (s *sharer) exchange(ctx context.Context, now time.Time, peer relay.Peer, report neighbor.Word) {
+func (s *sharer) exchange(ctx context.Context, now time.Time, peer relay.Peer, report neighbor.LoadReport) {
 	n := s.node
 	_, dispatched := n.dispatcher(now, n.settings.Zone)
 	report.WithOthers = !dispatched || now.Sub(s.othersReceivedAt) >= othersInterval
