--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -38,8 +38,8 @@
 // peers returns the nodes of this zone.
 func (n *Node) peers() []relay.Peer { return n.peersOf(n.settings.Zone) }
 
-// otherZonePeers returns the nodes of the other zones.
-func (n *Node) otherZonePeers() []relay.Peer {
+// remotePeers returns the nodes of the other zones.
+func (n *Node) remotePeers() []relay.Peer {
 	var peers []relay.Peer
 	for _, zone := range n.settings.Zones {
 		if zone != n.settings.Zone {
--- a/node/node.go
+++ b/node/node.go
@@ -78,7 +78,7 @@
 		backoff: relay.NewPeerBackoff(dispatcherMinBackoff, dispatcherMaxBackoff),
 	}
 	n.source = relay.NewSource(relay.Config{
-		Store: store, PeerClient: n.neighbors, Self: s.Node, Peers: n.peers, RemotePeers: n.otherZonePeers, Leader: n.leader, EqualFor: sameValue,
+		Store: store, PeerClient: n.neighbors, Self: s.Node, Peers: n.peers, RemotePeers: n.remotePeers, Leader: n.leader, EqualFor: sameValue,
 	})
 	n.current.Store(&s)
 	n.table = members.NewTable(members.Config{
--- a/node/permit.go
+++ b/node/permit.go
@@ -60,7 +60,7 @@
 	if peers := n.peersOf(zone); len(peers) > 0 {
 		return peers
 	}
-	return relay.RankPeers(append(n.peers(), n.otherZonePeers()...), relay.Dispatcher)
+	return relay.RankPeers(append(n.peers(), n.remotePeers()...), relay.Dispatcher)
 }
 
 // permitShare returns the fraction of a limit for which this node may issue permits to
