--- /dev/null
+++ b/directory/cache.go
@@ -0,0 +1,224 @@
+package directory
+
+import (
+	"sort"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"redwinghall/fleet"
+)
+
+// LapseGrace is how long an entry that lapsed while the store was unavailable may
+// stay missing after the store is available again before its endpoint counts as
+// gone: endpoints need some time to rewrite their entries.
+const LapseGrace = 2200 * time.Millisecond
+
+// Cache holds the state that was read from the store and publishes it as immutable views.
+// It is safe for concurrent use.
+type Cache struct {
+	mu        sync.Mutex
+	view      atomic.Pointer[View]
+	indexed   *indexedConfig
+	endpoints map[string]*fleet.Endpoint
+	lapsed    map[string]time.Time // when a missing entry counts as gone
+	zonesOut  map[string]bool
+	restored  restored
+	// graceUntil is the time from which missing entries again count as gone at once.
+	graceUntil time.Time
+	read       atomic.Pointer[fleet.Position]
+	configured chan struct{} // closed once a configuration has been read
+	listed     chan struct{} // closed once the endpoints' entries have been read
+}
+
+// NewCache returns an empty cache.
+func NewCache() *Cache {
+	c := &Cache{endpoints: map[string]*fleet.Endpoint{}, lapsed: map[string]time.Time{}, zonesOut: map[string]bool{}, restored: newRestored()}
+	c.configured, c.listed = make(chan struct{}), make(chan struct{})
+	c.view.Store(&View{})
+	c.read.Store(&fleet.Position{})
+	return c
+}
+
+// View returns the latest view.
+func (c *Cache) View() *View { return c.view.Load() }
+
+// StoreReturned starts the grace for missing entries. It is called when the store responds
+// again after an outage or was restored from an older copy.
+func (c *Cache) StoreReturned(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.graceUntil = now.Add(LapseGrace)
+}
+
+// NoteRead records the position of the store up to which the endpoints' entries were read.
+func (c *Cache) NoteRead(at fleet.Position) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.Read().IsZero() && !at.IsZero() {
+		close(c.listed)
+	}
+	next := c.Read().Later(at)
+	c.read.Store(&next)
+}
+
+// Configured returns a channel that is closed once a configuration has been read.
+func (c *Cache) Configured() <-chan struct{} { return c.configured }
+
+// Listed returns a channel that is closed once the endpoints' entries have been read.
+func (c *Cache) Listed() <-chan struct{} { return c.listed }
+
+// Read returns the position of the store up to which the endpoints' entries have been read.
+func (c *Cache) Read() fleet.Position { return *c.read.Load() }
+
+// Change is one change read from the store. Exactly one field other than Restored is set.
+type Change struct {
+	Config   *fleet.Configuration
+	Endpoint *fleet.Endpoint
+	Gone     string // id of an endpoint whose entry is missing
+	ZoneOut  string
+	ZoneIn   string
+	// Restored is set if the store was restored from an older copy, so that the change may
+	// be older than the known state.
+	Restored bool
+}
+
+// Apply applies changes and publishes a single new view.
+func (c *Cache) Apply(now time.Time, changes ...Change) {
+	if len(changes) == 0 {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	first := c.indexed == nil
+	for _, change := range changes {
+		c.applyOne(now, change)
+	}
+	c.publish()
+	if first && c.indexed != nil {
+		close(c.configured)
+	}
+}
+
+func (c *Cache) applyOne(now time.Time, change Change) {
+	switch {
+	case change.Config != nil:
+		// Versions only increase. An older configuration that is read late must not
+		// bring back routes and keys that were removed.
+		if c.indexed == nil || change.Config.Version >= c.indexed.config.Version {
+			c.indexed = newIndexedConfig(change.Config)
+		}
+	case change.Endpoint != nil:
+		if change.Restored && c.restored.keeps(now, c.endpoints[change.Endpoint.ID], change.Endpoint) {
+			return
+		}
+		c.put(change.Endpoint)
+	case change.Gone != "":
+		c.remove(now, change.Gone)
+	case change.ZoneOut != "":
+		c.zonesOut[change.ZoneOut] = true
+		delete(c.restored.zonesIn, change.ZoneOut)
+	case change.ZoneIn != "" && change.Restored:
+		c.restored.zonesIn[change.ZoneIn] = now.Add(LapseGrace)
+	case change.ZoneIn != "":
+		delete(c.zonesOut, change.ZoneIn)
+		delete(c.restored.zonesIn, change.ZoneIn)
+	}
+}
+
+func (c *Cache) put(e *fleet.Endpoint) {
+	c.endpoints[e.ID] = e
+	delete(c.lapsed, e.ID)
+	c.restored.forget(e.ID)
+}
+
+// remove drops an endpoint, or keeps it until the grace after a store outage ends.
+func (c *Cache) remove(now time.Time, id string) {
+	if now.Before(c.graceUntil) {
+		if _, known := c.lapsed[id]; !known {
+			c.lapsed[id] = c.graceUntil
+		}
+		return
+	}
+	c.drop(now, id)
+}
+
+func (c *Cache) drop(now time.Time, id string) {
+	if e, known := c.endpoints[id]; known {
+		c.restored.noteGone(now, e)
+	}
+	delete(c.endpoints, id)
+	delete(c.lapsed, id)
+	delete(c.restored.held, id)
+}
+
+// Expire drops endpoints whose entries are still missing at the end of their grace. It also
+// applies the held-back state of a store restored from an older copy once its grace is over.
+func (c *Cache) Expire(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	changed := false
+	for id, until := range c.lapsed {
+		if !now.Before(until) {
+			c.drop(now, id)
+			changed = true
+		}
+	}
+	for _, e := range c.restored.due(now) {
+		c.put(e)
+		changed = true
+	}
+	for zone, at := range c.restored.zonesIn {
+		if !now.Before(at) {
+			delete(c.restored.zonesIn, zone)
+			delete(c.zonesOut, zone)
+			changed = true
+		}
+	}
+	if changed {
+		c.publish()
+	}
+}
+
+// Known returns the IDs of all endpoints and the zones taken out of service, for
+// comparison with a new list.
+func (c *Cache) Known() (ids, zonesOut []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id := range c.endpoints {
+		ids = append(ids, id)
+	}
+	for zone := range c.zonesOut {
+		zonesOut = append(zonesOut, zone)
+	}
+	return ids, zonesOut
+}
+
+func (c *Cache) publish() {
+	v := &View{
+		indexed:   c.indexed,
+		Endpoints: make(map[string]*fleet.Endpoint, len(c.endpoints)),
+		ByService: map[string][]*fleet.Endpoint{},
+		ZonesOut:  make(map[string]bool, len(c.zonesOut)),
+		heads:     map[modelKey][]*fleet.Endpoint{},
+	}
+	for id, e := range c.endpoints {
+		v.Endpoints[id] = e
+		v.ByService[e.Service] = append(v.ByService[e.Service], e)
+	}
+	for _, list := range v.ByService {
+		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
+	}
+	for service, list := range v.ByService {
+		for _, e := range list {
+			if e.Serves() {
+				key := modelKey{service, e.Model()}
+				v.heads[key] = append(v.heads[key], e)
+			}
+		}
+	}
+	for zone := range c.zonesOut {
+		v.ZonesOut[zone] = true
+	}
+	c.view.Store(v)
+}
