--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -19,7 +19,7 @@
 // must hold of groups.
 type farm struct {
 	mu      sync.Mutex
-	book    *directory.Book
+	book    *directory.Cache
 	workers map[string]*farmWorker
 	ready   map[string]map[string]bool // workers that were ever ready, by group
 	broken  []string                   // what must not happen and did
@@ -88,7 +88,7 @@
 func newFarmOf(engine *fleet.Engine, seed uint64, domains, size int) *farm {
 	f := &farm{
 		engine: engine,
-		book:   directory.NewBook(), workers: map[string]*farmWorker{}, ready: map[string]map[string]bool{}, taken: map[string]string{},
+		book:   directory.NewCache(), workers: map[string]*farmWorker{}, ready: map[string]map[string]bool{}, taken: map[string]string{},
 		random: rand.New(rand.NewPCG(seed, 1)), lag: 150 * time.Millisecond,
 		stored: map[string]*fleet.Endpoint{},
 	}
@@ -147,7 +147,7 @@
 
 // follower is a holder's copy of the entries, which lags behind.
 type follower struct {
-	book *directory.Book
+	book *directory.Cache
 	due  time.Time // of the last change that is on its way
 	// behind is how much later than a holder the node reads.
 	behind time.Duration
@@ -158,7 +158,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	c := &follower{book: directory.NewBook(), behind: behind}
+	c := &follower{book: directory.NewCache(), behind: behind}
 	c.book.Apply(now, directory.Change{Config: f.book.View().Config()})
 	for _, e := range f.stored {
 		c.book.Apply(now, directory.Change{Endpoint: e})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -29,7 +29,7 @@
 type Options struct {
 	// Settings returns the settings in force.
 	Settings func() fleet.Settings
-	Book     *directory.Book
+	Book     *directory.Cache
 	Tracker  *balance.Tracker
 	Upstream *Upstream
 	// Shares returns this node's part at the moment.
@@ -122,7 +122,7 @@
 		return r, &refusal{status: http.StatusNotFound, reason: "no_route"}
 	}
 	r.Route = route
-	if !route.Public && r.view.AsksForKey() {
+	if !route.Public && r.view.RequiresKey() {
 		account, ok := r.view.Account(r.Ask.Key)
 		if !ok {
 			return r, &refusal{status: http.StatusUnauthorized, reason: "unknown_key"}
