--- a/lease/lease.go
+++ b/lease/lease.go
@@ -54,7 +54,7 @@
 // The actions.
 const (
 	Wait Action = iota
-	Take
+	Acquire
 	Renew
 )
 
@@ -156,11 +156,11 @@
 	case s.restored() && now.Sub(s.unchanged) <= s.config.Duration:
 		return Wait
 	case s.version == 0 || s.record.Holder == "":
-		return Take // never held, or given up by its holder
+		return Acquire // never held, or given up by its holder
 	case s.config.Alone && s.record.Holder == s.config.Self:
-		return Take // left by an earlier process of this name
+		return Acquire // left by an earlier process of this name
 	case now.Sub(s.unchanged) > s.config.Duration:
-		return Take
+		return Acquire
 	default:
 		return Wait
 	}
@@ -200,11 +200,11 @@
 // Txn returns the transaction of an action, and the record that it writes.
 func (s State) Txn(zone string, action Action, nonce string) (redwinghall.Txn, Record) {
 	record := Record{Holder: s.config.Self, Fencing: s.record.Fencing, Nonce: nonce, Era: s.era, Settled: s.settled}
-	if action == Take {
+	if action == Acquire {
 		record.Fencing++
 	}
 	writes := []redwinghall.Write{{Key: Key(zone), Expect: s.version, Value: redwinghall.RowValue(record)}}
-	if action == Take {
+	if action == Acquire {
 		writes = append(writes, redwinghall.Write{
 			Key: FenceKey(zone), Expect: s.fenceVersion, Value: redwinghall.RowValue(Fence{Fencing: record.Fencing}),
 		})
--- a/members/leases.go
+++ b/members/leases.go
@@ -18,17 +18,17 @@
 	state := t.leases[zone]
 	own := zone == t.config.Self.Zone
 	action := state.Next(boot)
-	if !own && state.Holder() == t.config.Self.Name && (action == lease.Take || t.hasLiveNode(zone, boot)) {
+	if !own && state.Holder() == t.config.Self.Name && (action == lease.Acquire || t.hasLiveNode(zone, boot)) {
 		t.release(ctx, zone, boot)
 		return true
 	}
-	if action != lease.Take {
+	if action != lease.Acquire {
 		delete(t.takeable, zone)
 	}
 	switch {
-	case action == lease.Wait, action == lease.Take && !t.isTurn(zone, boot):
+	case action == lease.Wait, action == lease.Acquire && !t.isTurn(zone, boot):
 		return false
-	case action == lease.Take && !t.listedAt.After(t.unwritten[zone]):
+	case action == lease.Acquire && !t.listedAt.After(t.unwritten[zone]):
 		// Guard: while the store is away all leases seem free, and each node of a
 		// zone would try to take one again and again. First the table must be read.
 		return false
@@ -94,7 +94,7 @@
 		klog.ErrorS(err, "lease_unreadable", "zone", zone)
 		return
 	}
-	if action == lease.Take {
+	if action == lease.Acquire {
 		klog.InfoS("lease_taken", "zone", zone, "number", record.Fencing, "era", at.Era, "version", at.Version)
 	}
 	t.leases[zone] = next
