--- a/lease/lease.go
+++ b/lease/lease.go
@@ -64,9 +64,9 @@
 	Duration time.Duration
 	// Margin is how much earlier the holder stops than a watcher may take over.
 	Margin time.Duration
-	// Alone says that only one process of the name Self can live at a time, so
+	// SingleInstance says that only one process of the name Self can live at a time, so
 	// that a record of Self that this process doesn't hold is a dead one's.
-	Alone bool
+	SingleInstance bool
 }
 
 // State is what one process knows of a lease. Values are immutable.
@@ -157,7 +157,7 @@
 		return Wait
 	case s.version == 0 || s.record.Holder == "":
 		return Acquire // never held, or given up by its holder
-	case s.config.Alone && s.record.Holder == s.config.Self:
+	case s.config.SingleInstance && s.record.Holder == s.config.Self:
 		return Acquire // left by an earlier process of this name
 	case now.Sub(s.unchanged) > s.config.Duration:
 		return Acquire
--- a/members/members.go
+++ b/members/members.go
@@ -112,7 +112,7 @@
 	}
 	for _, zone := range config.Zones {
 		t.leases[zone] = lease.NewState(lease.Config{
-			Self: config.Self.Name, Duration: leaseDuration, Margin: leaseMargin, Alone: true,
+			Self: config.Self.Name, Duration: leaseDuration, Margin: leaseMargin, SingleInstance: true,
 		})
 	}
 	t.nodes.Store(&[]Node{config.Self})
