--- a/lease/lease.go
+++ b/lease/lease.go
@@ -31,9 +31,9 @@
 	Nonce   string `json:"nonce"`   // of this write; settles a lost answer
 	// Era is the table's era in which the record was written.
 	Era int64 `json:"era,omitempty"`
-	// Settled is the newest era in which the holder knew that what the table lost when it
+	// RecoveredEra is the newest era in which the holder knew that what the table lost when it
 	// came back had been written again.
-	Settled int64 `json:"settled,omitempty"`
+	RecoveredEra int64 `json:"settled,omitempty"`
 }
 
 // Fence is the value of the row fence/<zone>. It changes only when the holder
@@ -107,7 +107,7 @@
 }
 
 // Settled returns the era of which the present record says so.
-func (s State) Settled() int64 { return s.record.Settled }
+func (s State) Settled() int64 { return s.record.RecoveredEra }
 
 // restored reports whether the record was written in an earlier era, or is missing since,
 // so that later ones may have been lost.
@@ -199,7 +199,7 @@
 
 // Txn returns the transaction of an action, and the record that it writes.
 func (s State) Txn(zone string, action Action, nonce string) (redwinghall.Txn, Record) {
-	record := Record{Holder: s.config.Self, Fencing: s.record.Fencing, Nonce: nonce, Era: s.era, Settled: s.settled}
+	record := Record{Holder: s.config.Self, Fencing: s.record.Fencing, Nonce: nonce, Era: s.era, RecoveredEra: s.settled}
 	if action == Acquire {
 		record.Fencing++
 	}
@@ -216,7 +216,7 @@
 // up, so that another need not wait for its end, and the state after it. The
 // process must have ended all its work as a holder before.
 func (s State) Release(zone, nonce string) (redwinghall.Txn, State) {
-	record := Record{Fencing: s.record.Fencing, Nonce: nonce, Era: s.era, Settled: s.settled}
+	record := Record{Fencing: s.record.Fencing, Nonce: nonce, Era: s.era, RecoveredEra: s.settled}
 	txn := redwinghall.Txn{Writes: []redwinghall.Write{{Key: Key(zone), Expect: s.version, Value: redwinghall.RowValue(record)}}}
 	s.heldUntil = time.Time{}
 	return txn, s
