--- a/lease/lease.go
+++ b/lease/lease.go
@@ -106,8 +106,8 @@
 	return s
 }
 
-// Settled returns the era of which the present record says so.
-func (s State) Settled() int64 { return s.record.RecoveredEra }
+// RecoveredEra returns the era of which the present record says so.
+func (s State) RecoveredEra() int64 { return s.record.RecoveredEra }
 
 // restored reports whether the record was written in an earlier era, or is missing since,
 // so that later ones may have been lost.
--- a/members/settle.go
+++ b/members/settle.go
@@ -54,7 +54,7 @@
 		t.settled.Store(t.listedEra)
 	}
 	for _, state := range t.leases {
-		if state.Settled() == t.listedEra {
+		if state.RecoveredEra() == t.listedEra {
 			t.settled.Store(t.listedEra)
 		}
 	}
