--- a/lease/lease.go
+++ b/lease/lease.go
@@ -99,9 +99,9 @@
 	return s
 }
 
-// WithSettled returns the state of a process that knows of an era that what was lost at its
+// WithRecoveredEra returns the state of a process that knows of an era that what was lost at its
 // beginning has been written again.
-func (s State) WithSettled(era int64) State {
+func (s State) WithRecoveredEra(era int64) State {
 	s.settled = era
 	return s
 }
--- a/members/settle.go
+++ b/members/settle.go
@@ -59,6 +59,6 @@
 		}
 	}
 	for zone, state := range t.leases {
-		t.leases[zone] = state.WithSettled(t.settled.Load())
+		t.leases[zone] = state.WithRecoveredEra(t.settled.Load())
 	}
 }
