--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,9 +1,10 @@
-// Package lease decides who holds an availability zone's lease. It does no
-// I/O: the holder of a State reads and writes the row and tells it the time.
+// Package lease implements the state machine of an availability zone's lease.
+// It does no I/O: the owner of a State reads and writes the rows and passes in
+// the current time.
 //
-// Clocks of two VMs need not agree. A watcher therefore never reads a time
-// written by another process; it waits until the row has not changed for the
-// whole duration on its own clock.
+// The clocks of two VMs may differ, so a watcher never relies on a time that
+// another process wrote. It waits until the row has not changed for the full
+// lease duration on its own clock.
 package lease
 
 import (
@@ -13,7 +14,7 @@
 	"redwinghall"
 )
 
-// Kind says what a lease error means.
+// Kind classifies lease errors.
 type Kind string
 
 // The kinds of lease error.
@@ -27,17 +28,18 @@
 // Record is the value of the row lease/<zone>.
 type Record struct {
 	Holder  string `json:"holder"`
-	Fencing uint64 `json:"fencing"` // rises with each new holder, never falls
-	Nonce   string `json:"nonce"`   // of this write; settles a lost answer
+	Fencing uint64 `json:"fencing"` // increases with each new holder, never decreases
+	Nonce   string `json:"nonce"`   // identifies this write if its response is lost
 	// Era is the table's era in which the record was written.
 	Era int64 `json:"era,omitempty"`
-	// RecoveredEra is the newest era in which the holder knew that what the table lost when it
-	// came back had been written again.
+	// RecoveredEra is the newest era for which the holder knew that the rows that the table
+	// lost when it was restored had been written again.
 	RecoveredEra int64 `json:"settled,omitempty"`
 }
 
 // Fence is the value of the row fence/<zone>. It changes only when the holder
-// changes, so that every transaction of a holder can demand its version.
+// changes, so that every transaction of a holder can be conditional on the
+// row's version.
 type Fence struct {
 	Fencing uint64 `json:"fencing"`
 }
@@ -48,7 +50,7 @@
 // FenceKey returns the key of a zone's fence.
 func FenceKey(zone string) string { return "fence/" + zone }
 
-// Action is what to do about the lease now.
+// Action is the next step for the lease.
 type Action int
 
 // The actions.
@@ -58,72 +60,73 @@
 	Renew
 )
 
-// Config is what all processes of a zone agree on.
+// Config holds the settings of a lease. Duration and Margin must be the same in
+// all processes of a zone.
 type Config struct {
 	Self     string
 	Duration time.Duration
-	// Margin is how much earlier the holder stops than a watcher may take over.
+	// Margin is how long before a watcher may take over the holder stops.
 	Margin time.Duration
-	// SingleInstance says that only one process of the name Self can live at a time, so
-	// that a record of Self that this process doesn't hold is a dead one's.
+	// SingleInstance says that at most one process named Self runs at a time, so that a
+	// record of Self that this process does not hold was left by a process that ended.
 	SingleInstance bool
 }
 
-// State is what one process knows of a lease. Values are immutable.
+// State is one process's view of a lease. Values are immutable.
 type State struct {
-	config       Config
-	version      int64
-	fenceVersion int64
-	record       Record
-	unchanged    time.Time // when this version was first seen
-	heldUntil    time.Time
-	known        bool
-	// era counts how often the table has come back from an older copy of itself.
+	config         Config
+	version        int64
+	fenceVersion   int64
+	record         Record
+	unchangedSince time.Time // when this version was first seen
+	heldUntil      time.Time
+	known          bool
+	// era counts how often the table has been restored from an older copy.
 	era int64
-	// returned says that this process has seen it come back.
-	returned bool
-	settled  int64
+	// sawRestore says that the table was restored while this process was watching it.
+	sawRestore   bool
+	recoveredEra int64
 }
 
-// NewState returns a state that knows nothing.
+// NewState returns the state of a process that has not read the rows yet.
 func NewState(config Config) State { return State{config: config} }
 
-// WithEra returns the state for rows that are read in an era of the table. What was read in
-// another one no longer counts.
+// WithEra returns the state for rows that are read in the given era of the table. Rows that
+// were read in another era are disregarded.
 func (s State) WithEra(era int64) State {
 	if era != s.era {
-		s.returned = s.returned || s.known
+		s.sawRestore = s.sawRestore || s.known
 		s.era = era
 		s.known = false
 	}
 	return s
 }
 
-// WithRecoveredEra returns the state of a process that knows of an era that what was lost at its
-// beginning has been written again.
+// WithRecoveredEra returns the state of a process that knows that the rows lost at the
+// beginning of the era have been written again.
 func (s State) WithRecoveredEra(era int64) State {
-	s.settled = era
+	s.recoveredEra = era
 	return s
 }
 
-// RecoveredEra returns the era of which the present record says so.
+// RecoveredEra returns the current record's RecoveredEra.
 func (s State) RecoveredEra() int64 { return s.record.RecoveredEra }
 
-// restored reports whether the record was written in an earlier era, or is missing since,
-// so that later ones may have been lost.
+// restored reports whether the record was written in an earlier era or has disappeared, so
+// that later records may have been lost.
 //
-// Guard: after the table came back from an older copy, its record may name a holder that has
-// lost the lease since, or nobody, while the last holder still goes by a record that is gone.
-// Whoever takes the lease at once holds it beside that one. So nobody does before that
-// one's time is over.
+// After the table is restored from an older copy, its record may name a former holder or
+// nobody, while the last holder still relies on a record that was lost. A process that
+// acquired the lease at once would hold it at the same time as that holder. Next therefore
+// waits for a full lease duration first.
 func (s State) restored() bool {
 	if s.version == 0 {
-		return s.returned
+		return s.sawRestore
 	}
 	return s.record.Era < s.era
 }
 
-// WithRows returns the state after the rows were read at now.
+// WithRows returns the state after the rows have been read at now.
 func (s State) WithRows(now time.Time, leaseRow, fenceRow redwinghall.Row) (State, error) {
 	if s.known && leaseRow.Version == s.version {
 		s.fenceVersion = fenceRow.Version
@@ -139,27 +142,27 @@
 	s.version = leaseRow.Version
 	s.fenceVersion = fenceRow.Version
 	s.record = record
-	s.unchanged = now
+	s.unchangedSince = now
 	if record.Holder != s.config.Self {
 		s.heldUntil = time.Time{}
 	}
 	return s, nil
 }
 
-// Next returns what to do now.
+// Next returns the action to take at now.
 func (s State) Next(now time.Time) Action {
 	switch {
 	case !s.known:
 		return Wait
 	case s.Holds(now):
 		return Renew
-	case s.restored() && now.Sub(s.unchanged) <= s.config.Duration:
+	case s.restored() && now.Sub(s.unchangedSince) <= s.config.Duration:
 		return Wait
 	case s.version == 0 || s.record.Holder == "":
-		return Acquire // never held, or given up by its holder
+		return Acquire // never held, or released by its holder
 	case s.config.SingleInstance && s.record.Holder == s.config.Self:
 		return Acquire // left by an earlier process of this name
-	case now.Sub(s.unchanged) > s.config.Duration:
+	case now.Sub(s.unchangedSince) > s.config.Duration:
 		return Acquire
 	default:
 		return Wait
@@ -168,16 +171,17 @@
 
 // Holds reports whether this process holds the lease at now.
 //
-// Guard: a holder that was frozen past its lease would go on giving orders
-// beside its successor, and a VM would be told to join two groups. Holding
-// ends Margin before a watcher may take over, by this process's own clock. A
-// freeze between this check and the order is caught by the fence row in each
-// transaction and by the fencing number in each order.
+// A holder that was paused past the end of its lease would otherwise send
+// orders at the same time as its successor, and a VM would be ordered to join
+// two groups. By this process's own clock, the lease therefore ends Margin
+// before a watcher may take over. A pause between this check and the order is
+// covered by the fence row in each transaction and by the fencing number in
+// each order.
 func (s State) Holds(now time.Time) bool {
 	return s.record.Holder == s.config.Self && now.Before(s.heldUntil)
 }
 
-// HeldUntil returns when this process stops to hold the lease.
+// HeldUntil returns when this process stops holding the lease.
 func (s State) HeldUntil() time.Time { return s.heldUntil }
 
 // FenceVersion returns the version of the fence row as last read.
@@ -186,20 +190,22 @@
 // Era returns the table's era in which the rows were read.
 func (s State) Era() int64 { return s.era }
 
-// Fencing returns the fencing number of the present record.
+// Fencing returns the fencing number of the current record.
 func (s State) Fencing() uint64 { return s.record.Fencing }
 
-// Holder returns the id of the process in the present record.
+// Holder returns the id of the process named in the current record.
 func (s State) Holder() string { return s.record.Holder }
 
-// FenceCheck returns the condition that each transaction of this holder needs.
+// FenceCheck returns the condition that each transaction of this holder must
+// include.
 func (s State) FenceCheck(zone string) redwinghall.Write {
 	return redwinghall.Write{Key: FenceKey(zone), Expect: s.fenceVersion, CheckOnly: true}
 }
 
-// Txn returns the transaction of an action, and the record that it writes.
+// Txn returns the transaction that carries out an action, and the record that it
+// writes.
 func (s State) Txn(zone string, action Action, nonce string) (redwinghall.Txn, Record) {
-	record := Record{Holder: s.config.Self, Fencing: s.record.Fencing, Nonce: nonce, Era: s.era, RecoveredEra: s.settled}
+	record := Record{Holder: s.config.Self, Fencing: s.record.Fencing, Nonce: nonce, Era: s.era, RecoveredEra: s.recoveredEra}
 	if action == Acquire {
 		record.Fencing++
 	}
@@ -212,24 +218,24 @@
 	return redwinghall.Txn{Writes: writes}, record
 }
 
-// Release returns the transaction by which a holder that stops gives the lease
-// up, so that another need not wait for its end, and the state after it. The
-// process must have ended all its work as a holder before.
+// Release returns the transaction that releases the lease, so that another
+// process need not wait until it expires, and the state after it. The caller
+// must have ended all work that requires the lease.
 func (s State) Release(zone, nonce string) (redwinghall.Txn, State) {
-	record := Record{Fencing: s.record.Fencing, Nonce: nonce, Era: s.era, RecoveredEra: s.settled}
+	record := Record{Fencing: s.record.Fencing, Nonce: nonce, Era: s.era, RecoveredEra: s.recoveredEra}
 	txn := redwinghall.Txn{Writes: []redwinghall.Write{{Key: Key(zone), Expect: s.version, Value: redwinghall.RowValue(record)}}}
 	s.heldUntil = time.Time{}
 	return txn, s
 }
 
 // WithWritten returns the state after the transaction that was sent at sentAt
-// took effect and the rows were read back at now. The lease counts from the
-// sending, because a watcher may have seen the row at once.
+// has been carried out and the rows have been read back at now. The lease runs
+// from sentAt, because a watcher may have seen the row immediately.
 //
-// Guard: a process that was frozen between sending and reading back, and whose
-// transaction lost, reads the row of another holder. If that row counted as
-// unchanged since the sending, the process would take the lease over while
-// its holder still holds it. A row counts as unchanged only since it was read.
+// A process that was paused between sending and reading back, and whose
+// transaction failed, reads the row of another holder. If that row counted as
+// unchanged since sentAt, the process would take over the lease while the other
+// still holds it. A row therefore counts as unchanged only from when it was read.
 func (s State) WithWritten(sentAt, now time.Time, written Record, leaseRow, fenceRow redwinghall.Row) (State, error) {
 	next, err := s.WithRows(now, leaseRow, fenceRow)
 	if err != nil {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -23,7 +23,7 @@
 
 var start = time.Date(2026, 1, 14, 5, 0, 0, 0, time.UTC)
 
-// controller is one process with a clock of its own.
+// controller is a process with its own clock.
 type controller struct {
 	id    string
 	skew  time.Duration
@@ -46,17 +46,17 @@
 	return rows[0], rows[1], nil
 }
 
-// step is what a manager does in one tick. A frozen process stops between
-// its parts, which the test models by calling look and act apart.
+// step does what a manager does in one tick. Tests call prepare and commit
+// separately to simulate a process that is paused between them.
 func (c *controller) step(t time.Time, nonce string) error {
-	txn, record, ok, err := c.look(t, nonce)
+	txn, record, ok, err := c.prepare(t, nonce)
 	if err != nil || !ok {
 		return err
 	}
-	return c.act(t, t, txn, record)
+	return c.commit(t, t, txn, record)
 }
 
-func (c *controller) look(t time.Time, nonce string) (redwinghall.Txn, lease.Record, bool, error) {
+func (c *controller) prepare(t time.Time, nonce string) (redwinghall.Txn, lease.Record, bool, error) {
 	a, b, err := c.read()
 	if err != nil {
 		return redwinghall.Txn{}, lease.Record{}, false, err
@@ -69,7 +69,7 @@
 	return txn, record, action != lease.Wait, nil
 }
 
-func (c *controller) act(sentAt, now time.Time, txn redwinghall.Txn, record lease.Record) error {
+func (c *controller) commit(sentAt, now time.Time, txn redwinghall.Txn, record lease.Record) error {
 	err := c.table.Commit(context.Background(), txn)
 	if err != nil && redwinghall.KindOf[redwinghall.TableKind](err) != redwinghall.TableUnknown {
 		return nil
@@ -102,10 +102,9 @@
 	require.Equal(t, uint64(2), b.state.Fencing())
 }
 
-// Two controllers order the same VMs into different groups.
-// Order: a holder's answer to its renewal is lost, and it looks again.
-// Cause: it took the row that it wrote itself for another's, or the other way
-// round.
+// The response to a lease transaction is lost. The controller must tell its
+// own record from another's when it reads the row back; otherwise two
+// controllers could order the same VMs into different groups.
 func TestLostAnswerToTaking(t *testing.T) {
 	tab := table.New()
 	tab.SetFaults(table.Faults{LoseAnswers: 1})
@@ -114,9 +113,9 @@
 	require.True(t, a.state.Holds(start))
 }
 
-// A frozen holder wakes up and writes a group over its successor's.
-// Order: the holder prepares a transaction and freezes; another takes the
-// lease; the first wakes and commits. Judge: the fence row.
+// A holder prepares a transaction and is paused, another controller acquires
+// the lease, and the first one resumes and commits. The check of the fence row
+// must reject the transaction, which would overwrite a group of the new holder.
 func TestFenceStopsAFrozenHolder(t *testing.T) {
 	tab := table.New()
 	a, b := newController(tab, "a", 0), newController(tab, "b", 0)
@@ -143,39 +142,40 @@
 	require.Equal(t, uint64(2), b.state.Fencing())
 }
 
-// Two controllers order the same VMs at the same time.
-// Order: b looks and freezes before it takes a lapsed lease; a renews; b
-// thaws, its transaction is late, and it reads a's new row.
-// Cause: the row counted as unchanged since b had sent, long before a wrote.
+// Controller b is paused before it acquires an expired lease, and a renews the
+// lease meanwhile. When b resumes, its transaction is delayed and it reads a's
+// new row. If b counted that row as unchanged since its own transaction was
+// sent, b would take over while a holds the lease.
 func TestThawedWatcherWaitsForTheRowItReads(t *testing.T) {
 	tab := table.New()
 	a, b := newController(tab, "a", 0), newController(tab, "b", 0)
 	require.NoError(t, a.step(start, "1"))
 	require.NoError(t, b.step(start, "2"))
-	lapsed := start.Add(duration + time.Second)
-	txn, record, ok, err := b.look(lapsed, "3")
+	expired := start.Add(duration + time.Second)
+	txn, record, ok, err := b.prepare(expired, "3")
 	require.NoError(t, err)
 	require.True(t, ok)
-	require.NoError(t, a.step(lapsed, "4"))
-	thawed := lapsed.Add(duration + time.Second)
-	require.NoError(t, a.step(thawed, "5"))
-	require.True(t, a.state.Holds(thawed))
+	require.NoError(t, a.step(expired, "4"))
+	resumed := expired.Add(duration + time.Second)
+	require.NoError(t, a.step(resumed, "5"))
+	require.True(t, a.state.Holds(resumed))
 	tab.SetFaults(table.Faults{LateWrites: 1})
-	require.NoError(t, b.act(lapsed, thawed, txn, record))
-	require.NoError(t, b.step(thawed, "6"))
-	require.False(t, b.state.Holds(thawed))
+	require.NoError(t, b.commit(expired, resumed, txn, record))
+	require.NoError(t, b.step(resumed, "6"))
+	require.False(t, b.state.Holds(resumed))
 }
 
-// interleaving is three controllers whose steps a property test mixes.
-type interleaving struct {
-	table  *table.Table
-	all    []*controller
-	frozen map[int]func(now time.Time) error // what a frozen one does when it thaws
+// simulation interleaves the steps of three controllers in random order.
+type simulation struct {
+	table       *table.Table
+	controllers []*controller
+	paused      map[int]func(now time.Time) error // the rest of a paused controller's step
 }
 
-// play lets controller i do one thing, or lets the table fail.
-func (p *interleaving) play(rt *rapid.T, now time.Time, i int, nonce string) {
-	c := p.all[i]
+// runStep lets controller i do one random thing, or injects a fault into the
+// table.
+func (p *simulation) runStep(rt *rapid.T, now time.Time, i int, nonce string) {
+	c := p.controllers[i]
 	switch rapid.IntRange(0, 7).Draw(rt, "what") {
 	case 0:
 		p.table.SetFaults(table.Faults{LoseAnswers: 1})
@@ -183,36 +183,36 @@
 		p.table.SetFaults(table.Faults{LateWrites: 1})
 	case 2:
 		p.table.LandLate()
-	case 3: // it looks, and freezes before it writes
-		if txn, record, ok, err := c.look(now, nonce); err == nil && ok && p.frozen[i] == nil {
-			p.frozen[i] = func(thawed time.Time) error { return c.act(now, thawed, txn, record) }
+	case 3: // paused after it has read the rows and before it writes
+		if txn, record, ok, err := c.prepare(now, nonce); err == nil && ok && p.paused[i] == nil {
+			p.paused[i] = func(resumed time.Time) error { return c.commit(now, resumed, txn, record) }
 		}
 	case 4:
-		p.thaw(rt, now, i)
-	case 5: // it stops as planned
-		if p.frozen[i] == nil && c.state.Holds(c.now(now)) {
+		p.resume(rt, now, i)
+	case 5: // orderly stop
+		if p.paused[i] == nil && c.state.Holds(c.now(now)) {
 			txn, state := c.state.Release(zone, nonce)
 			c.state = state
-			_ = p.table.Commit(context.Background(), txn) // a lost release only lapses later
+			_ = p.table.Commit(context.Background(), txn) // if the release is lost, the lease expires instead
 		}
 	default:
-		if p.frozen[i] == nil {
+		if p.paused[i] == nil {
 			require.NoError(rt, c.step(now, nonce))
 		}
 	}
 }
 
-func (p *interleaving) thaw(rt *rapid.T, now time.Time, i int) {
-	if wake := p.frozen[i]; wake != nil {
-		delete(p.frozen, i)
+func (p *simulation) resume(rt *rapid.T, now time.Time, i int) {
+	if wake := p.paused[i]; wake != nil {
+		delete(p.paused, i)
 		require.NoError(rt, wake(now))
 	}
 }
 
-// holders returns those that believe that they hold the lease.
-func (p *interleaving) holders(now time.Time) []*controller {
+// holders returns the controllers that consider themselves the holder.
+func (p *simulation) holders(now time.Time) []*controller {
 	var out []*controller
-	for _, c := range p.all {
+	for _, c := range p.controllers {
 		if c.state.Holds(c.now(now)) {
 			out = append(out, c)
 		}
@@ -220,20 +220,20 @@
 	return out
 }
 
-// At no time two processes both believe that they hold the lease, and the
-// fencing number never falls: over random freezes, lost answers, late writes,
-// planned stops and clocks that differ.
+// At no time do two processes consider themselves the holder, and the fencing
+// number never decreases, under random pauses, lost responses, delayed writes,
+// orderly stops and clock skew.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		p := &interleaving{table: table.New(), frozen: map[int]func(time.Time) error{}}
+		p := &simulation{table: table.New(), paused: map[int]func(time.Time) error{}}
 		for i := range 3 {
 			skew := time.Duration(rapid.IntRange(-3600, 3600).Draw(rt, "skew")) * time.Second
-			p.all = append(p.all, newController(p.table, fmt.Sprint("c", i), skew))
+			p.controllers = append(p.controllers, newController(p.table, fmt.Sprint("c", i), skew))
 		}
 		now, fencing := start, uint64(0)
 		for n := range rapid.IntRange(10, 80).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
-			p.play(rt, now, rapid.IntRange(0, 2).Draw(rt, "who"), fmt.Sprint(n))
+			p.runStep(rt, now, rapid.IntRange(0, 2).Draw(rt, "who"), fmt.Sprint(n))
 			holders := p.holders(now)
 			require.LessOrEqual(rt, len(holders), 1)
 			for _, c := range holders {
