--- a/claim/judge.go
+++ b/claim/judge.go
@@ -24,9 +24,9 @@
 	KeyReused
 )
 
-// Judge decides what a row means at now for a request with bodyHash. bound is
+// TakeoverPolicy decides what a row means at now for a request with bodyHash. bound is
 // the longest time that an attempt takes from its claim to its outcome.
-type Judge interface {
+type TakeoverPolicy interface {
 	Judge(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (Verdict, redwinghall.Claim)
 }
 
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -53,7 +53,7 @@
 	config Config
 	table  redwinghall.Table
 	writer *Writer
-	judge  Judge
+	judge  TakeoverPolicy
 
 	mu   sync.Mutex
 	owed map[string]redwinghall.Claim // by token: what must still be recorded
@@ -62,7 +62,7 @@
 }
 
 // NewKeeper returns a keeper; judge decides what rows of earlier attempts mean.
-func NewKeeper(config Config, table redwinghall.Table, judge Judge) *Keeper {
+func NewKeeper(config Config, table redwinghall.Table, judge TakeoverPolicy) *Keeper {
 	config = config.WithDefaults()
 	return &Keeper{
 		config: config, table: table, judge: judge,
--- a/measure/takeover.go
+++ b/measure/takeover.go
@@ -70,7 +70,7 @@
 func measureTakeover(options) ([]Series, error) {
 	judges := []struct {
 		name  string
-		judge claim.Judge
+		judge claim.TakeoverPolicy
 	}{{"never taken over", claim.Never{}}, {"taken over after 60 s", takeover{lease: takeoverLease}}}
 	var out []Series
 	for _, j := range judges {
@@ -109,7 +109,7 @@
 
 // playKey plays one key: a first attempt and retries at fixed intervals, each
 // through another router, against one row.
-func playKey(judge claim.Judge, random *rand.Rand) outcomeOf {
+func playKey(judge claim.TakeoverPolicy, random *rand.Rand) outcomeOf {
 	start := time.Unix(0, 0)
 	var out outcomeOf
 	row := redwinghall.Row{}
