--- a/claim/judge.go
+++ b/claim/judge.go
@@ -27,7 +27,7 @@
 // TakeoverPolicy decides what a row means at now for a request with bodyHash. bound is
 // the longest time that an attempt takes from its claim to its outcome.
 type TakeoverPolicy interface {
-	Judge(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (Verdict, redwinghall.Claim)
+	Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (Verdict, redwinghall.Claim)
 }
 
 // Never is the judge of the product: a held claim is never taken over.
@@ -39,8 +39,8 @@
 // duplicates. An old claim is answered with outcome_unknown instead.
 type Never struct{}
 
-// Judge implements Judge.
-func (Never) Judge(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (Verdict, redwinghall.Claim) {
+// Evaluate implements TakeoverPolicy.
+func (Never) Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (Verdict, redwinghall.Claim) {
 	if row.Version == 0 {
 		return Proceed, redwinghall.Claim{}
 	}
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -132,7 +132,7 @@
 		return Attempt{}, 0, redwinghall.NewOpError("Keeper.readBack", Unavailable, err)
 	}
 	row := rows[0]
-	verdict, found := k.judge.Judge(now, row, claim.BodyHash, k.config.Bound)
+	verdict, found := k.judge.Evaluate(now, row, claim.BodyHash, k.config.Bound)
 	if found.Token == claim.Token {
 		return Attempt{Key: key, Verdict: Proceed, Claim: claim}, row.Version, nil
 	}
--- a/measure/takeover.go
+++ b/measure/takeover.go
@@ -17,9 +17,9 @@
 	lease time.Duration
 }
 
-// Judge implements claim.Judge.
-func (j takeover) Judge(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (claim.Verdict, redwinghall.Claim) {
-	verdict, found := claim.Never{}.Judge(now, row, bodyHash, bound)
+// Evaluate implements claim.Evaluate.
+func (j takeover) Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (claim.Verdict, redwinghall.Claim) {
+	verdict, found := claim.Never{}.Evaluate(now, row, bodyHash, bound)
 	if found.State == redwinghall.ClaimHeld && now.Sub(found.At) > j.lease {
 		return claim.Proceed, found
 	}
@@ -115,7 +115,7 @@
 	row := redwinghall.Row{}
 	var queue []sending
 	attempt := func(now time.Time, token string) {
-		verdict, _ := judge.Judge(now, row, "h", takeoverLease)
+		verdict, _ := judge.Evaluate(now, row, "h", takeoverLease)
 		if verdict != claim.Proceed {
 			return
 		}
@@ -151,7 +151,7 @@
 	}
 	end := start.Add(time.Hour)
 	send(end)
-	verdict, found := judge.Judge(end, row, "h", takeoverLease)
+	verdict, found := judge.Evaluate(end, row, "h", takeoverLease)
 	out.stuck = verdict != claim.Replay && found.State != redwinghall.ClaimRan
 	return out
 }
