--- a/caller/fuzz_test.go
+++ b/caller/fuzz_test.go
@@ -38,7 +38,7 @@
 	store.Apply(peer.Entry{Key: peer.KeyManifest, Number: 1, Value: data})
 	board := route.NewBoard(route.BoardConfig{AvailabilityZone: "tartu", Ramp: ramp.Owned{}, Picker: route.TwoChoices{}})
 	board.Rebuild(store)
-	keeper := claim.NewKeeper(claim.Config{}, table.New(), claim.Never{})
+	keeper := claim.NewKeeper(claim.Config{}, table.New(), claim.NoTakeover{})
 	handler := caller.NewServer(caller.Config{}, board, keeper, kernel.NewGroup(context.Background())).Handler()
 	f.Fuzz(func(t *testing.T, body string) {
 		r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(body))
--- a/claim/judge.go
+++ b/claim/judge.go
@@ -30,17 +30,17 @@
 	Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (Verdict, redwinghall.Claim)
 }
 
-// Never is the judge of the product: a held claim is never taken over.
+// NoTakeover is the judge of the product: a held claim is never taken over.
 //
 // Guard: the holder of an old claim may be frozen, not dead. If another router
 // took the claim over and sent the call, the holder would send it too when it
 // thaws, and a customer would be charged twice. A lease on the claim, which
 // lets a retry take it over, has this fault unless the service itself removes
 // duplicates. An old claim is answered with outcome_unknown instead.
-type Never struct{}
+type NoTakeover struct{}
 
 // Evaluate implements TakeoverPolicy.
-func (Never) Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (Verdict, redwinghall.Claim) {
+func (NoTakeover) Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (Verdict, redwinghall.Claim) {
 	if row.Version == 0 {
 		return Proceed, redwinghall.Claim{}
 	}
--- a/measure/claims.go
+++ b/measure/claims.go
@@ -48,7 +48,7 @@
 	g := kernel.NewGroup(context.Background())
 	var keepers []*claim.Keeper
 	for i := range claimRouters {
-		k := claim.NewKeeper(claim.Config{Router: fmt.Sprint("router-", i), WriteInterval: claimInterval}, tab, claim.Never{})
+		k := claim.NewKeeper(claim.Config{Router: fmt.Sprint("router-", i), WriteInterval: claimInterval}, tab, claim.NoTakeover{})
 		k.Run(g)
 		keepers = append(keepers, k)
 	}
--- a/measure/takeover.go
+++ b/measure/takeover.go
@@ -19,7 +19,7 @@
 
 // Evaluate implements claim.Evaluate.
 func (j takeover) Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (claim.Verdict, redwinghall.Claim) {
-	verdict, found := claim.Never{}.Evaluate(now, row, bodyHash, bound)
+	verdict, found := claim.NoTakeover{}.Evaluate(now, row, bodyHash, bound)
 	if found.State == redwinghall.ClaimHeld && now.Sub(found.At) > j.lease {
 		return claim.Proceed, found
 	}
@@ -71,7 +71,7 @@
 	judges := []struct {
 		name  string
 		judge claim.TakeoverPolicy
-	}{{"never taken over", claim.Never{}}, {"taken over after 60 s", takeover{lease: takeoverLease}}}
+	}{{"never taken over", claim.NoTakeover{}}, {"taken over after 60 s", takeover{lease: takeoverLease}}}
 	var out []Series
 	for _, j := range judges {
 		doubled, stuck := 0, 0
