--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -31,7 +31,7 @@
 	tab := table.New()
 	g := kernel.NewGroup(context.Background())
 	start := func(router string) *claim.Keeper {
-		k := claim.NewKeeper(claim.Config{Router: router, Bound: bound, RetryInterval: time.Millisecond}, tab, claim.NoTakeover{})
+		k := claim.NewKeeper(claim.Config{Router: router, MaxAttemptTime: bound, RetryInterval: time.Millisecond}, tab, claim.NoTakeover{})
 		k.Run(g)
 		return k
 	}
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -19,8 +19,8 @@
 // Config of a keeper.
 type Config struct {
 	Router string
-	// Bound is the longest time from a claim to its recorded outcome.
-	Bound time.Duration
+	// MaxAttemptTime is the longest time from a claim to its recorded outcome.
+	MaxAttemptTime time.Duration
 	// WriteInterval is the least time between two of the router's transactions.
 	WriteInterval time.Duration
 	// RetryInterval is the first pause between attempts to record an outcome;
@@ -30,8 +30,8 @@
 
 // WithDefaults returns the configuration with its empty fields filled.
 func (c Config) WithDefaults() Config {
-	if c.Bound == 0 {
-		c.Bound = time.Minute
+	if c.MaxAttemptTime == 0 {
+		c.MaxAttemptTime = time.Minute
 	}
 	if c.RetryInterval == 0 {
 		c.RetryInterval = 250 * time.Millisecond
@@ -132,7 +132,7 @@
 		return Attempt{}, 0, redwinghall.NewOpError("Keeper.readBack", Unavailable, err)
 	}
 	row := rows[0]
-	verdict, found := k.judge.Evaluate(now, row, claim.BodyHash, k.config.Bound)
+	verdict, found := k.judge.Evaluate(now, row, claim.BodyHash, k.config.MaxAttemptTime)
 	if found.Token == claim.Token {
 		return Attempt{Key: key, Verdict: Proceed, Claim: claim}, row.Version, nil
 	}
--- a/daemon/router.go
+++ b/daemon/router.go
@@ -60,7 +60,7 @@
 	})
 	keeper := claim.NewKeeper(claim.Config{
 		Router: s.ID, WriteInterval: s.ClaimInterval.Std(),
-		Bound: s.MaxTimeout.Std() + s.SettleTimeout.Std(),
+		MaxAttemptTime: s.MaxTimeout.Std() + s.SettleTimeout.Std(),
 	}, table, claim.NoTakeover{})
 	calls := kernel.NewGroup(context.Background())
 	server := caller.NewServer(caller.Config{
