--- a/caller/once_test.go
+++ b/caller/once_test.go
@@ -231,7 +231,7 @@
 	require.NoError(t, g.Wait())
 	close(results)
 	d.Eventually("every outcome is recorded", func() bool {
-		return d.Routers[0].Keeper.Owed()+d.Routers[1].Keeper.Owed() == 0 &&
+		return d.Routers[0].Keeper.PendingOutcomes()+d.Routers[1].Keeper.PendingOutcomes() == 0 &&
 			d.Routers[0].Server.CallsDone() && d.Routers[1].Server.CallsDone()
 	})
 	for r := range results {
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -45,7 +45,7 @@
 
 func settled(t *testing.T, k *claim.Keeper) {
 	t.Helper()
-	require.Eventually(t, func() bool { return k.Owed() == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return k.PendingOutcomes() == 0 }, 10*time.Second, time.Millisecond)
 }
 
 func claimed(t *testing.T, k *claim.Keeper, now time.Time) claim.Attempt {
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -83,8 +83,8 @@
 // Writer returns the writer, for its counts.
 func (k *Keeper) Writer() *Writer { return k.writer }
 
-// Owed returns how many outcomes are not recorded yet.
-func (k *Keeper) Owed() int {
+// PendingOutcomes returns how many outcomes are not recorded yet.
+func (k *Keeper) PendingOutcomes() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.owed)
@@ -197,7 +197,7 @@
 			return nil
 		case <-k.wake:
 		}
-		for failures := 0; k.Owed() > 0 && ctx.Err() == nil; {
+		for failures := 0; k.PendingOutcomes() > 0 && ctx.Err() == nil; {
 			if k.settleRound(ctx) {
 				failures = 0
 				continue
--- a/daemon/router.go
+++ b/daemon/router.go
@@ -88,7 +88,7 @@
 	gauge("endpoint.reports_asked", func() int64 { return int64(r.Poller.Polls()) })
 	gauge("claim.transactions", func() int64 { return int64(r.Keeper.Writer().Counts().Transactions) })
 	gauge("claim.rows", func() int64 { return int64(r.Keeper.Writer().Counts().Rows) })
-	gauge("claim.owed", func() int64 { return int64(r.Keeper.Owed()) })
+	gauge("claim.owed", func() int64 { return int64(r.Keeper.PendingOutcomes()) })
 	gauge("retries.sent", r.Server.Budget().Spent)
 	gauge("retries.denied", r.Server.Budget().Denied)
 	gauge("manifest.generation", func() int64 { return int64(r.Board.View().Accepted.Generation) })
@@ -180,8 +180,8 @@
 		_ = callers.Close()
 	}
 	waitUntil(ctx, r.Server.CallsDone)
-	waitUntil(ctx, func() bool { return r.Keeper.Owed() == 0 })
-	klog.InfoS("router_drained", "id", r.settings.ID, "outcomes_not_recorded", r.Keeper.Owed())
+	waitUntil(ctx, func() bool { return r.Keeper.PendingOutcomes() == 0 })
+	klog.InfoS("router_drained", "id", r.settings.ID, "outcomes_not_recorded", r.Keeper.PendingOutcomes())
 }
 
 func waitUntil(ctx context.Context, done func() bool) {
--- a/measure/claims.go
+++ b/measure/claims.go
@@ -72,7 +72,7 @@
 	}
 	err := bookings.Wait()
 	for _, k := range keepers {
-		for k.Owed() > 0 {
+		for k.PendingOutcomes() > 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/rwhtest/session_test.go
+++ b/rwhtest/session_test.go
@@ -58,7 +58,7 @@
 			map[string]string{"Idempotency-Key": key, "X-Request-Id": id})
 	}
 	settled := func(i int) {
-		d.Eventually("the outcome is recorded", func() bool { return d.Routers[i].Keeper.Owed() == 0 })
+		d.Eventually("the outcome is recorded", func() bool { return d.Routers[i].Keeper.PendingOutcomes() == 0 })
 	}
 	s.Note("a deposit, and its retry through a router of another zone")
 	book(0, "book-1", "deposit-1", `{"amount":50}`)
