--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	key   = "claim/hauliers/rental-desk/deposit-1"
-	hash  = "body"
-	bound = time.Minute
+	key            = "claim/hauliers/rental-desk/deposit-1"
+	hash           = "body"
+	maxAttemptTime = time.Minute
 )
 
-// bench is one table and the keepers of two routers before it.
-type bench struct {
+// fixture is a table and the keepers of two routers that use it.
+type fixture struct {
 	table    *table.Table
 	one, two *claim.Keeper
 }
 
-// newBench starts the keepers. Outcomes are tried again every millisecond.
-func newBench(t *testing.T) bench {
+// newFixture starts the keepers. Recording an outcome is retried after a
+// millisecond.
+func newFixture(t *testing.T) fixture {
 	t.Helper()
 	tab := table.New()
 	g := kernel.NewGroup(context.Background())
 	start := func(router string) *claim.Keeper {
-		k := claim.NewKeeper(claim.Config{Router: router, MaxAttemptTime: bound, RetryInterval: time.Millisecond}, tab, claim.NoTakeover{})
+		k := claim.NewKeeper(claim.Config{Router: router, MaxAttemptTime: maxAttemptTime, RetryInterval: time.Millisecond}, tab, claim.NoTakeover{})
 		k.Run(g)
 		return k
 	}
-	b := bench{table: tab, one: start("router-tartu-1"), two: start("router-parnu-1")}
+	b := fixture{table: tab, one: start("router-tartu-1"), two: start("router-parnu-1")}
 	t.Cleanup(func() {
 		g.Stop()
 		require.NoError(t, g.Wait())
@@ -43,24 +44,24 @@
 	return b
 }
 
-func settled(t *testing.T, k *claim.Keeper) {
+func waitRecorded(t *testing.T, k *claim.Keeper) {
 	t.Helper()
 	require.Eventually(t, func() bool { return k.PendingOutcomes() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-func claimed(t *testing.T, k *claim.Keeper, now time.Time) claim.Attempt {
+func mustClaim(t *testing.T, k *claim.Keeper, now time.Time) claim.Attempt {
 	t.Helper()
 	a, err := k.Claim(t.Context(), now, key, hash)
 	require.NoError(t, err)
 	return a
 }
 
-// A haulier pays one deposit twice: the app sent its retry while the first
-// request was on its way, through a router of another zone.
-// Order: two routers claim the key at the same moment.
-// Cause: each looked first and then acted.
+// Two routers claim the same key at the same moment, as when a client retries
+// through another zone while its first request is in progress. Only one may
+// proceed; with a separate check before the write, both would, and the customer
+// would pay twice.
 func TestTwoRoutersAtOnceOneProceeds(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	now := time.Now()
 	verdicts := make(chan claim.Verdict, 2)
 	g := kernel.NewGroup(t.Context())
@@ -88,16 +89,16 @@
 		{"sent without an answer", func(k *claim.Keeper, a claim.Attempt) { k.RecordUnknown(a) }, hash, 0, claim.Unknown},
 		{"released", func(k *claim.Keeper, a claim.Attempt) { k.Release(a) }, hash, 0, claim.Proceed},
 		{"held", func(*claim.Keeper, claim.Attempt) {}, hash, 0, claim.InProgress},
-		{"held for longer than an attempt lasts", func(*claim.Keeper, claim.Attempt) {}, hash, bound + time.Second, claim.Unknown},
+		{"held for longer than an attempt lasts", func(*claim.Keeper, claim.Attempt) {}, hash, maxAttemptTime + time.Second, claim.Unknown},
 		{"another body", func(*claim.Keeper, claim.Attempt) {}, "other", 0, claim.KeyReused},
 		{"another body after a release", func(k *claim.Keeper, a claim.Attempt) { k.Release(a) }, "other", 0, claim.KeyReused},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			now := time.Now()
-			tt.finish(b.one, claimed(t, b.one, now))
-			settled(t, b.one)
+			tt.finish(b.one, mustClaim(t, b.one, now))
+			waitRecorded(t, b.one)
 			a, err := b.two.Claim(t.Context(), now.Add(tt.later), key, tt.body)
 			require.NoError(t, err)
 			require.Equal(t, tt.want, a.Verdict)
@@ -105,50 +106,47 @@
 	}
 }
 
-// A deposit hangs as "in progress" for good although nobody runs it.
-// Order: the claim is written; its answer is lost; the router looks.
-// Cause: the router took its own claim for another's.
+// The claim is written but the response is lost. When the router reads the row
+// back, it must recognize its own claim; if it took it for another router's, the
+// request would stay "in progress" forever.
 func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.table.SetFaults(table.Faults{LoseAnswers: 1})
-	require.Equal(t, claim.Proceed, claimed(t, b.one, time.Now()).Verdict)
+	require.Equal(t, claim.Proceed, mustClaim(t, b.one, time.Now()).Verdict)
 }
 
-// A driver is told "not run", tries again, and is blocked by a ghost.
-// Order: the claim is delayed on the way; the router finds no row and gives
-// up; the delayed claim lands after that.
-// Cause: absence was taken for a free key.
+// The claim's write is delayed, the router finds no row and refuses the request
+// as not run, and the write arrives afterwards. It must not be carried out, or it
+// would block the client's retry.
 func TestLateClaimCannotLandAfterRefusal(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.table.SetFaults(table.Faults{LateWrites: 1})
 	_, err := b.one.Claim(t.Context(), time.Now(), key, hash)
 	require.Equal(t, claim.Lost, redwinghall.KindOf[claim.Kind](err))
-	settled(t, b.one)
+	waitRecorded(t, b.one)
 	require.Zero(t, b.table.LandLate(), "the late claim must find the row taken")
-	require.Equal(t, claim.Proceed, claimed(t, b.two, time.Now()).Verdict)
+	require.Equal(t, claim.Proceed, mustClaim(t, b.two, time.Now()).Verdict)
 }
 
-// The same ghost over a key that was released before.
-// Order: a first attempt releases the key; the second attempt's claim is
-// delayed, given up, and lands late on the released row.
-// Cause: the release found another attempt's release and thought it was done.
+// As above, for a key that an earlier attempt has released: the second attempt's
+// claim is delayed, abandoned, and arrives late at the released row. The second
+// attempt must write its own release even though the row is released already.
 func TestLateClaimOverReleasedRow(t *testing.T) {
-	b := newBench(t)
-	b.one.Release(claimed(t, b.one, time.Now()))
-	settled(t, b.one)
-	b.table.SetFaults(table.Faults{Skip: 1, LateWrites: 1}) // the blind insert fails, the claim over the release is late
+	b := newFixture(t)
+	b.one.Release(mustClaim(t, b.one, time.Now()))
+	waitRecorded(t, b.one)
+	b.table.SetFaults(table.Faults{Skip: 1, LateWrites: 1}) // the insert conflicts; the claim of the released row is delayed
 	_, err := b.two.Claim(t.Context(), time.Now(), key, hash)
 	require.Error(t, err)
-	settled(t, b.two)
+	waitRecorded(t, b.two)
 	require.Zero(t, b.table.LandLate())
-	require.Equal(t, claim.Proceed, claimed(t, b.one, time.Now()).Verdict)
+	require.Equal(t, claim.Proceed, mustClaim(t, b.one, time.Now()).Verdict)
 }
 
-// Before dawn the table is down; depots wait for an answer that cannot come.
-// Order: the table refuses; claims arrive; the table comes back.
-// Cause: each request waited for the outage on its own.
+// While the table is down, claims are refused immediately without asking the
+// table for each request, and they succeed again after it recovers.
 func TestTableDownRefusesAtOnceAndRecovers(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.table.SetFaults(table.Faults{Down: true})
 	for range 3 {
 		_, err := b.one.Claim(t.Context(), time.Now(), key, hash)
@@ -162,39 +160,39 @@
 	}, 10*time.Second, 10*time.Millisecond)
 }
 
-// A depot clerk waits in front of a silent screen.
-// Order: the table takes the connection and never answers; the request's
-// time ends. Cause: the claim waited for the table without an end.
+// The table accepts the connection and never responds. The claim must end with
+// the request's deadline rather than wait for the table indefinitely.
 func TestSilentTableEndsWithTheRequest(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.table.SetFaults(table.Faults{Silent: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	_, err := b.one.Claim(ctx, time.Now(), key, hash)
 	require.Equal(t, claim.Lost, redwinghall.KindOf[claim.Kind](err))
 	b.table.SetFaults(table.Faults{})
-	settled(t, b.one)
-	require.Equal(t, claim.Proceed, claimed(t, b.two, time.Now()).Verdict)
+	waitRecorded(t, b.one)
+	require.Equal(t, claim.Proceed, mustClaim(t, b.two, time.Now()).Verdict)
 }
 
-// A return that ran is not found when its customer asks.
-// Order: the call runs; the table goes down before the outcome is recorded;
-// it comes back. Cause: the outcome was tried once.
+// The table goes down after a call ran and before its outcome is recorded.
+// Recording must be retried until the table is back; otherwise a retry of the
+// request would not find its response.
 func TestOutcomeIsRecordedAfterAnOutage(t *testing.T) {
-	b := newBench(t)
-	a := claimed(t, b.one, time.Now())
+	b := newFixture(t)
+	a := mustClaim(t, b.one, time.Now())
 	b.table.SetFaults(table.Faults{Down: true})
 	b.one.RecordRan(a, redwinghall.Answer{Status: 201, Body: []byte("ok")})
 	b.table.SetFaults(table.Faults{})
-	settled(t, b.one)
-	found := claimed(t, b.two, time.Now())
+	waitRecorded(t, b.one)
+	found := mustClaim(t, b.two, time.Now())
 	require.Equal(t, claim.Replay, found.Verdict)
 	require.Equal(t, 201, found.Claim.Answer.Status)
 }
 
-// Many bookings at once must not spend the table's several hundred writes.
+// Many concurrent claims must share transactions rather than use up the table's
+// capacity of several hundred writes.
 func TestConcurrentClaimsShareTransactions(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.table.SetFaults(table.Faults{Latency: redwinghall.Duration(5 * time.Millisecond)})
 	const claims = 100
 	g := kernel.NewGroup(t.Context())
@@ -214,10 +212,10 @@
 	require.Less(t, counts.Transactions, uint64(claims/2))
 }
 
-// A key in conflict must not fail the bookings that share its transaction.
+// A conflict on one key must not fail the claims that share its transaction.
 func TestConflictSparesTheRestOfTheBatch(t *testing.T) {
-	b := newBench(t)
-	claimed(t, b.two, time.Now())
+	b := newFixture(t)
+	mustClaim(t, b.two, time.Now())
 	b.table.SetFaults(table.Faults{Latency: redwinghall.Duration(5 * time.Millisecond)})
 	g := kernel.NewGroup(t.Context())
 	for _, k := range []string{"claim/a/b/1", key, "claim/a/b/2", "claim/a/b/3"} {
@@ -236,9 +234,9 @@
 	require.NoError(t, g.Wait())
 }
 
-// A caller is told "not run" while the call leaves.
-// Order: the deadline and the sending happen at the same moment.
-// Cause: they were two separate looks at the clock.
+// The deadline passes at the moment when the call is sent. Exactly one of sending
+// and refusing must succeed; with two separate checks of the clock, a client could
+// get "not run" for a call that was sent.
 func TestLatchSendsOrRefusesNeverBoth(t *testing.T) {
 	for range 2000 {
 		latch := &claim.Latch{}
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -16,15 +16,15 @@
 	"redwinghall/kernel"
 )
 
-// Config of a keeper.
+// Config holds the settings of a keeper.
 type Config struct {
 	Router string
 	// MaxAttemptTime is the longest time from a claim to its recorded outcome.
 	MaxAttemptTime time.Duration
-	// WriteInterval is the least time between two of the router's transactions.
+	// WriteInterval is the minimum time between two transactions of the router.
 	WriteInterval time.Duration
-	// RetryInterval is the first pause between attempts to record an outcome;
-	// it doubles while they fail.
+	// RetryInterval is the initial delay between attempts to record an outcome;
+	// it doubles with each failure.
 	RetryInterval time.Duration
 }
 
@@ -39,12 +39,12 @@
 	return c
 }
 
-// Attempt is one router's try at one key.
+// Attempt is a router's attempt to claim a key.
 type Attempt struct {
 	Key     string
 	Verdict Verdict
-	// Claim is what this attempt holds when the verdict is Proceed, and what
-	// it found otherwise.
+	// Claim is this attempt's claim if the verdict is Proceed, and otherwise the
+	// claim that it found.
 	Claim redwinghall.Claim
 }
 
@@ -53,54 +53,55 @@
 	config Config
 	table  redwinghall.Table
 	writer *Writer
-	judge  TakeoverPolicy
+	policy TakeoverPolicy
 
-	mu   sync.Mutex
-	owed map[string]redwinghall.Claim // by token: what must still be recorded
-	keys map[string]string            // token to key, of what is owed
-	wake chan struct{}
+	mu      sync.Mutex
+	pending map[string]redwinghall.Claim // outcomes not recorded yet, by token
+	keys    map[string]string            // keys of the pending outcomes, by token
+	wake    chan struct{}
 }
 
-// NewKeeper returns a keeper; judge decides what rows of earlier attempts mean.
-func NewKeeper(config Config, table redwinghall.Table, judge TakeoverPolicy) *Keeper {
+// NewKeeper returns a keeper; policy decides what rows of earlier attempts mean.
+func NewKeeper(config Config, table redwinghall.Table, policy TakeoverPolicy) *Keeper {
 	config = config.WithDefaults()
 	return &Keeper{
-		config: config, table: table, judge: judge,
-		writer: NewWriter(table, config.WriteInterval),
-		owed:   map[string]redwinghall.Claim{},
-		keys:   map[string]string{},
-		wake:   make(chan struct{}, 1),
+		config: config, table: table, policy: policy,
+		writer:  NewWriter(table, config.WriteInterval),
+		pending: map[string]redwinghall.Claim{},
+		keys:    map[string]string{},
+		wake:    make(chan struct{}, 1),
 	}
 }
 
-// Run starts the keeper's loops in g.
+// Run starts the keeper's background loops in g.
 func (k *Keeper) Run(g *kernel.Group) {
 	g.Go("claim.writer", k.writer.Run)
 	g.Go("claim.probe", k.writer.RunProbe)
-	g.Go("claim.settle", k.settleLoop)
+	g.Go("claim.record", k.recordLoop)
 }
 
-// Writer returns the writer, for its counts.
+// Writer returns the writer, whose counts are reported as metrics.
 func (k *Keeper) Writer() *Writer { return k.writer }
 
-// PendingOutcomes returns how many outcomes are not recorded yet.
+// PendingOutcomes returns the number of outcomes that are not recorded yet.
 func (k *Keeper) PendingOutcomes() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.owed)
+	return len(k.pending)
 }
 
-// BodyHash returns what identifies a request beside its key.
+// BodyHash returns the hash by which a request is compared with an earlier one
+// that used the same key.
 func BodyHash(method, path string, body []byte) string {
 	hash := sha256.New()
-	_, _ = hash.Write([]byte(method + "\n" + path + "\n")) // a hash never fails
+	_, _ = hash.Write([]byte(method + "\n" + path + "\n")) // never returns an error
 	_, _ = hash.Write(body)
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// Claim tries to claim the key. A verdict of Proceed means that this router,
-// and no other, may send the call, once. With an error the call was not and
-// will not be sent, so the caller may be told not_run.
+// Claim tries to claim the key. A verdict of Proceed means that this router, and
+// no other, may send the call, once. If Claim returns an error, the call was not
+// and will not be sent, so the request may be answered with not_run.
 func (k *Keeper) Claim(ctx context.Context, now time.Time, key, bodyHash string) (Attempt, error) {
 	claim := redwinghall.Claim{
 		Token: rand.Text(), BodyHash: bodyHash, State: redwinghall.ClaimHeld,
@@ -114,7 +115,7 @@
 		case unavailable:
 			return Attempt{}, redwinghall.NewOpError("Keeper.Claim", Unavailable, nil)
 		case unknown:
-			return k.settleUnknown(ctx, key, claim)
+			return k.resolveUnknown(ctx, key, claim)
 		case conflicted:
 		}
 		attempt, version, err := k.readBack(ctx, now, key, claim)
@@ -125,29 +126,30 @@
 	}
 }
 
-// readBack looks at the row that stood in the way.
+// readBack evaluates the row that the claim conflicted with.
 func (k *Keeper) readBack(ctx context.Context, now time.Time, key string, claim redwinghall.Claim) (Attempt, int64, error) {
 	rows, err := k.table.Read(ctx, key)
 	if err != nil {
 		return Attempt{}, 0, redwinghall.NewOpError("Keeper.readBack", Unavailable, err)
 	}
 	row := rows[0]
-	verdict, found := k.judge.Evaluate(now, row, claim.BodyHash, k.config.MaxAttemptTime)
+	verdict, found := k.policy.Evaluate(now, row, claim.BodyHash, k.config.MaxAttemptTime)
 	if found.Token == claim.Token {
 		return Attempt{Key: key, Verdict: Proceed, Claim: claim}, row.Version, nil
 	}
 	return Attempt{Key: key, Verdict: verdict, Claim: found}, row.Version, nil
 }
 
-// settleUnknown reads the row back after a lost answer and compares the token.
+// resolveUnknown reads the row back after a lost response and compares the token.
 //
-// Guard: when the answer to a claim is lost the claim may be there, may not be
-// there, or may land later. Claiming again blindly would find its own row and
-// leave the caller with "in progress" for good; taking absence for a free key
-// would let a late write block it. Only the token read back lets the call
-// proceed. Otherwise the attempt is given up and the row is released, which
-// also stops a late write: it demands that the row does not exist.
-func (k *Keeper) settleUnknown(ctx context.Context, key string, claim redwinghall.Claim) (Attempt, error) {
+// When the response to a claim is lost, the claim may have been written, not
+// written, or may be written later. Claiming again without reading would conflict
+// with the attempt's own row and answer "in progress" forever. Treating a missing
+// row as an unused key would let a delayed write block the key. The call proceeds
+// only if the row that is read back has this attempt's token. Otherwise the
+// attempt is abandoned and the row is released, which also stops a delayed write,
+// because that write requires that the row does not exist.
+func (k *Keeper) resolveUnknown(ctx context.Context, key string, claim redwinghall.Claim) (Attempt, error) {
 	rows, err := k.table.Read(ctx, key)
 	if err == nil {
 		var found redwinghall.Claim
@@ -156,30 +158,30 @@
 		}
 	}
 	if err != nil && ctx.Err() == nil {
-		k.writer.setDown(true) // neither write nor read: refuse the next ones at once
+		k.writer.setDown(true) // neither writes nor reads work: refuse the next claims immediately
 	}
 	k.Release(Attempt{Key: key, Claim: claim})
-	return Attempt{}, redwinghall.NewOpError("Keeper.settleUnknown", Lost, err)
+	return Attempt{}, redwinghall.NewOpError("Keeper.resolveUnknown", Lost, err)
 }
 
 // Release records that the attempt's call was not sent and never will be.
-func (k *Keeper) Release(a Attempt) { k.owe(a.Key, a.Claim.WithState(redwinghall.ClaimReleased)) }
+func (k *Keeper) Release(a Attempt) { k.enqueue(a.Key, a.Claim.WithState(redwinghall.ClaimReleased)) }
 
-// RecordRan records the answer of the attempt's call.
+// RecordRan records the response to the attempt's call.
 func (k *Keeper) RecordRan(a Attempt, answer redwinghall.Answer) {
-	k.owe(a.Key, a.Claim.WithAnswer(answer))
+	k.enqueue(a.Key, a.Claim.WithAnswer(answer))
 }
 
-// RecordUnknown records that the attempt's call was sent and no answer came.
+// RecordUnknown records that the attempt's call was sent and no response arrived.
 func (k *Keeper) RecordUnknown(a Attempt) {
-	k.owe(a.Key, a.Claim.WithState(redwinghall.ClaimUnknown))
+	k.enqueue(a.Key, a.Claim.WithState(redwinghall.ClaimUnknown))
 }
 
-// owe keeps the outcome until the table has it. The caller need not wait: as
-// long as the row says "held" nobody else sends the call.
-func (k *Keeper) owe(key string, outcome redwinghall.Claim) {
+// enqueue keeps the outcome in memory until it is written to the table. The caller
+// need not wait: as long as the row says "held", no other router sends the call.
+func (k *Keeper) enqueue(key string, outcome redwinghall.Claim) {
 	k.mu.Lock()
-	k.owed[outcome.Token] = outcome
+	k.pending[outcome.Token] = outcome
 	k.keys[outcome.Token] = key
 	k.mu.Unlock()
 	select {
@@ -188,9 +190,9 @@
 	}
 }
 
-// settleLoop records what is owed. Outcomes are tried together, so that they
-// share transactions.
-func (k *Keeper) settleLoop(ctx context.Context) error {
+// recordLoop writes pending outcomes to the table. It tries them together, so
+// that they share transactions.
+func (k *Keeper) recordLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -198,11 +200,11 @@
 		case <-k.wake:
 		}
 		for failures := 0; k.PendingOutcomes() > 0 && ctx.Err() == nil; {
-			if k.settleRound(ctx) {
+			if k.recordPending(ctx) {
 				failures = 0
 				continue
 			}
-			if !kernel.Sleep(ctx, pauseAfter(failures, k.config.RetryInterval)) {
+			if !kernel.Sleep(ctx, backoff(failures, k.config.RetryInterval)) {
 				return nil
 			}
 			failures++
@@ -210,12 +212,13 @@
 	}
 }
 
-// settleRound tries everything owed once and reports whether all succeeded.
-func (k *Keeper) settleRound(ctx context.Context) bool {
+// recordPending tries up to maxBatch pending outcomes once and reports whether all
+// were recorded.
+func (k *Keeper) recordPending(ctx context.Context) bool {
 	k.mu.Lock()
 	var keys []string
 	var outcomes []redwinghall.Claim
-	for token, outcome := range k.owed {
+	for token, outcome := range k.pending {
 		if len(keys) == maxBatch {
 			break
 		}
@@ -230,9 +233,9 @@
 	var failed atomic.Bool
 	round := kernel.NewGroup(ctx)
 	for i := range rows {
-		round.Go("claim.settle_one", func(ctx context.Context) error {
-			if k.settleOne(ctx, rows[i], outcomes[i]) {
-				k.forget(outcomes[i])
+		round.Go("claim.record_one", func(ctx context.Context) error {
+			if k.recordOne(ctx, rows[i], outcomes[i]) {
+				k.removePending(outcomes[i])
 				return nil
 			}
 			failed.Store(true)
@@ -242,26 +245,27 @@
 	return round.Wait() == nil && !failed.Load()
 }
 
-// settleOne brings one row to its outcome and reports whether that is done.
-func (k *Keeper) settleOne(ctx context.Context, row redwinghall.Row, outcome redwinghall.Claim) bool {
+// recordOne writes the outcome to its row, unless nothing is left to write, and
+// reports whether the outcome is done with.
+func (k *Keeper) recordOne(ctx context.Context, row redwinghall.Row, outcome redwinghall.Claim) bool {
 	var found redwinghall.Claim
 	if row.Version != 0 {
 		if err := json.Unmarshal(row.Value, &found); err != nil {
 			klog.ErrorS(err, "claim_unreadable", "key", row.Key)
 			return true
 		}
-		if settled(found, outcome) {
+		if isRecorded(found, outcome) {
 			return true
 		}
 	}
 	return k.writer.Write(ctx, redwinghall.Write{Key: row.Key, Expect: row.Version, Value: outcome.JSON()}) == written
 }
 
-// settled reports whether nothing is left to write for the outcome: it is
-// recorded, or the key went to another attempt. A release over another
-// attempt's release is still written: the version that it moves is the one
-// that this attempt's own late write may be waiting to find.
-func settled(found, outcome redwinghall.Claim) bool {
+// isRecorded reports whether nothing is left to write for the outcome, because it
+// is recorded or the key was claimed by another attempt. A release is still
+// written over another attempt's release, because this attempt's own delayed
+// write may be conditional on the version that the release changes.
+func isRecorded(found, outcome redwinghall.Claim) bool {
 	if found.Token == outcome.Token {
 		return found.State != redwinghall.ClaimHeld
 	}
@@ -269,12 +273,12 @@
 	return !bothReleased
 }
 
-// forget drops what was owed unless a later outcome replaced it.
-func (k *Keeper) forget(outcome redwinghall.Claim) {
+// removePending removes a recorded outcome unless a later one has replaced it.
+func (k *Keeper) removePending(outcome redwinghall.Claim) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.owed[outcome.Token].State == outcome.State {
-		delete(k.owed, outcome.Token)
+	if k.pending[outcome.Token].State == outcome.State {
+		delete(k.pending, outcome.Token)
 		delete(k.keys, outcome.Token)
 	}
 }
--- a/claim/latch.go
+++ b/claim/latch.go
@@ -4,10 +4,10 @@
 
 // Latch decides once whether an attempt's call is sent or refused.
 //
-// Guard: a deadline that passes while the call is being sent could tell the
-// caller "not run" although the bytes leave a moment later; the caller books
-// again and pays twice. Sending and refusing are one compare-and-set, so
-// exactly one of them happens.
+// Without it, a deadline that passes while the call is being sent could make the
+// router answer "not run" although the call goes out a moment later; a caller
+// that books again would then pay twice. Both transitions compare and swap the
+// same state, so exactly one of them succeeds.
 type Latch struct {
 	state atomic.Int32
 }
--- a/claim/writer.go
+++ b/claim/writer.go
@@ -11,38 +11,38 @@
 	"redwinghall/kernel"
 )
 
-// Limits of one transaction and of the queue before it.
+// Limits of a transaction and of the queue of writes.
 const (
 	maxBatch       = 200
 	maxQueuedWrite = 20000
 )
 
-// A table that was down is asked first after firstPause, then after twice as
-// long each time up to lastPause, at a random moment of the second half. When
-// an outage ends, hundreds of routers must not all ask at the same moment and
-// again at the shortest interval: that would be most of what the table bears.
+// While the table is down it is probed after minBackoff, then with a delay that
+// doubles up to maxBackoff; the second half of each delay is random. When an
+// outage ends, hundreds of routers must not all retry at the same moment and at
+// the shortest interval: that would use up most of the table's capacity.
 const (
-	firstPause = 250 * time.Millisecond
-	lastPause  = 8 * time.Second
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 8 * time.Second
 )
 
-// pauseAfter returns the pause after so many failures in a row.
-func pauseAfter(failures int, first time.Duration) time.Duration {
-	pause := lastPause
+// backoff returns the delay after the given number of consecutive failures.
+func backoff(failures int, first time.Duration) time.Duration {
+	pause := maxBackoff
 	if failures < 16 {
-		pause = min(lastPause, first<<failures)
+		pause = min(maxBackoff, first<<failures)
 	}
 	return pause/2 + mathrand.N(pause/2+1)
 }
 
-// result is what became of one row's write.
+// result is the outcome of writing one row.
 type result int
 
 const (
 	written     result = iota
-	conflicted         // the row's version was another
+	conflicted         // the row had a different version
 	unavailable        // nothing was sent
-	unknown            // it may have been written, or may yet be
+	unknown            // it may have been written, or may be written later
 )
 
 type write struct {
@@ -50,23 +50,23 @@
 	done chan result
 }
 
-// Writer shares transactions between the claims and outcomes of concurrent
-// requests: what arrives while one transaction is on its way goes into the
-// next. At rest a write waits for nothing; under load the number of
-// transactions stays bounded by the interval.
+// Writer batches the claims and outcomes of concurrent requests into shared
+// transactions: writes that arrive while a transaction is in progress go into
+// the next one. An idle writer commits a write immediately; under load the
+// interval limits the rate of transactions.
 type Writer struct {
 	table redwinghall.Table
-	// interval is the least time between two transactions of this process.
+	// interval is the minimum time between two transactions of this process.
 	interval time.Duration
 
 	mu     sync.Mutex
 	queue  []write
 	wake   chan struct{}
-	down   bool // the table did not answer the last time it was asked
+	down   bool // the table did not respond to the last call
 	counts Counts
 }
 
-// Counts tells how the writer used the table.
+// Counts holds the writer's counters of its use of the table.
 type Counts struct {
 	Transactions uint64
 	Rows         uint64
@@ -81,22 +81,22 @@
 	return &Writer{table: table, interval: interval, wake: make(chan struct{}, 1)}
 }
 
-// Counts returns how the table was used so far.
+// Counts returns the counters so far.
 func (w *Writer) Counts() Counts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.counts
 }
 
-// Down reports whether the table did not answer lately.
+// Down reports whether the table is considered unavailable.
 func (w *Writer) Down() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.down
 }
 
-// Write puts one row into a coming transaction and waits for the result. When
-// ctx ends first the result is unknown: the row may still be written.
+// Write queues one row for a transaction and waits for the result. If ctx ends
+// first, the result is unknown: the row may still be written.
 func (w *Writer) Write(ctx context.Context, row redwinghall.Write) result {
 	one := write{row: row, done: make(chan result, 1)}
 	w.mu.Lock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// Run commits what is queued until ctx ends.
+// Run commits queued writes until ctx ends.
 func (w *Writer) Run(ctx context.Context) error {
 	var last time.Time
 	for {
@@ -138,11 +138,11 @@
 	}
 }
 
-// RunProbe asks the table from time to time while it is down, so that claims
-// are refused at once in the meantime and taken again soon after.
+// RunProbe probes the table while it is down. Claims are refused immediately
+// until a probe succeeds.
 func (w *Writer) RunProbe(ctx context.Context) error {
 	failures := 0
-	for kernel.Sleep(ctx, pauseAfter(failures, firstPause)) {
+	for kernel.Sleep(ctx, backoff(failures, minBackoff)) {
 		if !w.Down() {
 			failures = 0
 			continue
@@ -163,8 +163,8 @@
 	return len(w.queue)
 }
 
-// takeBatch removes the next writes from the queue, at most one for each key:
-// two attempts at one key in one transaction would both conflict.
+// takeBatch removes the next writes from the queue, at most one for each key,
+// because two writes of one key in the same transaction would both conflict.
 func (w *Writer) takeBatch() []write {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -182,40 +182,40 @@
 	return batch
 }
 
-// commit carries out one batch. Rows in conflict are answered and the others
-// tried again at once; each round has fewer rows, so it ends.
+// commit writes one batch. Conflicting rows are reported to their writers and the
+// others are retried immediately; each round has fewer rows, so the loop ends.
 func (w *Writer) commit(ctx context.Context) {
 	batch := w.takeBatch()
 	for len(batch) > 0 {
 		err := w.table.Commit(ctx, txnOf(batch))
-		w.note(len(batch), err)
+		w.updateCounts(len(batch), err)
 		switch redwinghall.KindOf[redwinghall.TableKind](err) {
 		case "":
 			if err == nil {
-				answer(batch, written)
+				sendResults(batch, written)
 			} else {
-				answer(batch, unknown)
+				sendResults(batch, unknown)
 			}
 			return
 		case redwinghall.TableConflict:
-			rest := w.answerConflicts(batch, err)
+			rest := w.sendConflicts(batch, err)
 			if len(rest) == len(batch) {
-				answer(batch, unknown) // a conflict that names none of our keys
+				sendResults(batch, unknown) // the conflict names none of the batch's keys
 				return
 			}
 			batch = rest
 		case redwinghall.TableUnavailable:
 			w.setDown(true)
-			answer(batch, unavailable)
+			sendResults(batch, unavailable)
 			return
 		default:
-			answer(batch, unknown)
+			sendResults(batch, unknown)
 			return
 		}
 	}
 }
 
-func (w *Writer) answerConflicts(batch []write, err error) []write {
+func (w *Writer) sendConflicts(batch []write, err error) []write {
 	var conflict *redwinghall.ConflictError
 	if !errors.As(err, &conflict) {
 		return batch
@@ -235,7 +235,7 @@
 	return rest
 }
 
-func (w *Writer) note(rows int, err error) {
+func (w *Writer) updateCounts(rows int, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counts.Transactions++
@@ -250,8 +250,8 @@
 	}
 }
 
-// setDown notes whether the table answers. When it does not, what is still
-// queued was never sent and is refused, so that nobody waits for an outage.
+// setDown records whether the table is down. If it is, the queued writes, which
+// were never sent, are refused, so that no request waits for the outage to end.
 func (w *Writer) setDown(down bool) {
 	w.mu.Lock()
 	w.down = down
@@ -260,7 +260,7 @@
 		refused, w.queue = w.queue, nil
 	}
 	w.mu.Unlock()
-	answer(refused, unavailable)
+	sendResults(refused, unavailable)
 }
 
 func txnOf(batch []write) redwinghall.Txn {
@@ -271,7 +271,7 @@
 	return redwinghall.Txn{Writes: writes}
 }
 
-func answer(batch []write, r result) {
+func sendResults(batch []write, r result) {
 	for _, one := range batch {
 		one.done <- r
 	}
--- a/measure/takeover.go
+++ b/measure/takeover.go
@@ -17,7 +17,7 @@
 	lease time.Duration
 }
 
-// Evaluate implements claim.Evaluate.
+// Evaluate implements claim.TakeoverPolicy.
 func (j takeover) Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (claim.Verdict, redwinghall.Claim) {
 	verdict, found := claim.NoTakeover{}.Evaluate(now, row, bodyHash, bound)
 	if found.State == redwinghall.ClaimHeld && now.Sub(found.At) > j.lease {
