--- a/endpoint/ledger.go
+++ b/endpoint/ledger.go
@@ -32,7 +32,7 @@
 	version int64
 }
 
-// Ledger is the zone's groups and bookings as the table has them. Only the
+// GroupStore is the zone's groups and bookings as the table has them. Only the
 // holder of the zone's lease writes them, so between its own writes the copy
 // held here is the truth; after any doubt it is read again.
 //
@@ -41,7 +41,7 @@
 // groups then loses the VM while it serves. Each VM has one row, a group and
 // all its VMs' rows change in one transaction, and the transaction demands
 // the fence's version, which a new holder has changed.
-type Ledger struct {
+type GroupStore struct {
 	zone   string
 	table  redwinghall.Table
 	groups map[string]recorded
@@ -50,18 +50,18 @@
 }
 
 // NewLedger returns a ledger that must be loaded first.
-func NewLedger(zone string, table redwinghall.Table) *Ledger {
-	return &Ledger{zone: zone, table: table}
+func NewLedger(zone string, table redwinghall.Table) *GroupStore {
+	return &GroupStore{zone: zone, table: table}
 }
 
 // Loaded reports whether the copy may be used.
-func (l *Ledger) Loaded() bool { return l.loaded }
+func (l *GroupStore) Loaded() bool { return l.loaded }
 
 // Forget drops the copy, because it may differ from the table.
-func (l *Ledger) Forget() { l.loaded = false }
+func (l *GroupStore) Forget() { l.loaded = false }
 
 // Load reads the zone's rows.
-func (l *Ledger) Load(ctx context.Context) error {
+func (l *GroupStore) Load(ctx context.Context) error {
 	groups, err := l.table.Scan(ctx, groupPrefix(l.zone))
 	if err != nil {
 		return err
@@ -87,10 +87,10 @@
 }
 
 // Booked reports whether a VM belongs to a group.
-func (l *Ledger) Booked(vm string) bool { return l.vms[vm] != 0 }
+func (l *GroupStore) Booked(vm string) bool { return l.vms[vm] != 0 }
 
 // Groups returns the groups by id.
-func (l *Ledger) Groups() map[string]redwinghall.Group {
+func (l *GroupStore) Groups() map[string]redwinghall.Group {
 	out := make(map[string]redwinghall.Group, len(l.groups))
 	for id, r := range l.groups {
 		out[id] = r.group
@@ -99,11 +99,11 @@
 }
 
 // Version returns the version of a group's row, which numbers its register.
-func (l *Ledger) Version(id string) int64 { return l.groups[id].version }
+func (l *GroupStore) Version(id string) int64 { return l.groups[id].version }
 
 // Put records a new or changed group together with its VMs. fence is the
 // condition that this process still holds the lease.
-func (l *Ledger) Put(ctx context.Context, fence redwinghall.Write, g redwinghall.Group) error {
+func (l *GroupStore) Put(ctx context.Context, fence redwinghall.Write, g redwinghall.Group) error {
 	value, err := json.Marshal(g)
 	if err != nil {
 		return redwinghall.NewOpError("Ledger.Put", redwinghall.TableUnavailable, err)
@@ -131,7 +131,7 @@
 }
 
 // Drop removes a group and frees its VMs.
-func (l *Ledger) Drop(ctx context.Context, fence redwinghall.Write, id string) error {
+func (l *GroupStore) Drop(ctx context.Context, fence redwinghall.Write, id string) error {
 	r, ok := l.groups[id]
 	if !ok {
 		return nil
@@ -146,7 +146,7 @@
 // commit writes and then reads the zone's rows back: new versions are the
 // table's to give. After a lost answer reading back also settles what
 // happened, because the fence still stops every other writer.
-func (l *Ledger) commit(ctx context.Context, writes []redwinghall.Write) error {
+func (l *GroupStore) commit(ctx context.Context, writes []redwinghall.Write) error {
 	l.loaded = false
 	if err := l.table.Commit(ctx, redwinghall.Txn{Writes: writes}); err != nil {
 		return fmt.Errorf("zone %s: %w", l.zone, err)
--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -43,7 +43,7 @@
 	lister redwinghall.VMLister
 	placer place.Placer
 	node   *peer.Node
-	ledger *Ledger
+	ledger *GroupStore
 
 	lease      lease.State
 	holding    bool
