--- a/endpoint/ledger.go
+++ b/endpoint/ledger.go
@@ -49,8 +49,8 @@
 	loaded bool
 }
 
-// NewLedger returns a ledger that must be loaded first.
-func NewLedger(zone string, table redwinghall.Table) *GroupStore {
+// NewGroupStore returns a ledger that must be loaded first.
+func NewGroupStore(zone string, table redwinghall.Table) *GroupStore {
 	return &GroupStore{zone: zone, table: table}
 }
 
--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -61,7 +61,7 @@
 func NewManager(c ManagerConfig, table redwinghall.Table, engine redwinghall.Engine, lister redwinghall.VMLister, placer place.Placer, node *peer.Node) *Manager {
 	m := &Manager{
 		config: c, table: table, engine: engine, lister: lister, placer: placer, node: node,
-		ledger: NewLedger(c.AvailabilityZone, table),
+		ledger: NewGroupStore(c.AvailabilityZone, table),
 		lease:  lease.NewState(c.Lease),
 		seen:   map[string]time.Time{}, silent: map[string]silence{},
 		leavingAt: map[string]time.Time{}, published: map[string]string{},
