--- a/endpoint/ledger.go
+++ b/endpoint/ledger.go
@@ -57,8 +57,8 @@
 // Loaded reports whether the copy may be used.
 func (l *GroupStore) Loaded() bool { return l.loaded }
 
-// Forget drops the copy, because it may differ from the table.
-func (l *GroupStore) Forget() { l.loaded = false }
+// Invalidate drops the copy, because it may differ from the table.
+func (l *GroupStore) Invalidate() { l.loaded = false }
 
 // Load reads the zone's rows.
 func (l *GroupStore) Load(ctx context.Context) error {
--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -81,7 +81,7 @@
 	m.status.Store(&LeaseStatus{Holder: m.lease.Holder(), Fencing: m.lease.Fencing(), Holding: holds, until: m.lease.HeldUntil()})
 	if holds != m.holding {
 		m.holding = holds
-		m.ledger.Forget()
+		m.ledger.Invalidate()
 		// Another holder may have published since: what was published counts
 		// for nothing under the new fencing number.
 		m.published = map[string]string{}
@@ -95,7 +95,7 @@
 		return
 	}
 	if err := m.stepGroups(ctx, now); err != nil {
-		m.ledger.Forget()
+		m.ledger.Invalidate()
 		klog.V(1).InfoS("group_step_failed", "cause", err.Error())
 	}
 }
