--- a/endpoint/ledger.go
+++ b/endpoint/ledger.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// Booked reports whether a VM belongs to a group.
-func (l *GroupStore) Booked(vm string) bool { return l.vms[vm] != 0 }
+// Assigned reports whether a VM belongs to a group.
+func (l *GroupStore) Assigned(vm string) bool { return l.vms[vm] != 0 }
 
 // Groups returns the groups by id.
 func (l *GroupStore) Groups() map[string]redwinghall.Group {
--- a/endpoint/members.go
+++ b/endpoint/members.go
@@ -112,7 +112,7 @@
 	var candidates redwinghall.VMs
 	var members []redwinghall.Member
 	for _, vm := range vms.Workers(m.config.AvailabilityZone) {
-		if m.ledger.Booked(vm.ID) || (domain != "" && vm.FabricDomain != domain) {
+		if m.ledger.Assigned(vm.ID) || (domain != "" && vm.FabricDomain != domain) {
 			continue
 		}
 		candidates = append(candidates, vm)
