--- a/endpoint/ledger.go
+++ b/endpoint/ledger.go
@@ -130,8 +130,8 @@
 	return l.commit(ctx, writes)
 }
 
-// Drop removes a group and frees its VMs.
-func (l *GroupStore) Drop(ctx context.Context, fence redwinghall.Write, id string) error {
+// Delete removes a group and frees its VMs.
+func (l *GroupStore) Delete(ctx context.Context, fence redwinghall.Write, id string) error {
 	r, ok := l.groups[id]
 	if !ok {
 		return nil
--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -148,7 +148,7 @@
 }
 
 func (m *Manager) dropGroup(ctx context.Context, g redwinghall.Group) error {
-	if err := m.ledger.Drop(ctx, m.lease.FenceCheck(m.config.AvailabilityZone), g.ID); err != nil {
+	if err := m.ledger.Delete(ctx, m.lease.FenceCheck(m.config.AvailabilityZone), g.ID); err != nil {
 		return err
 	}
 	delete(m.leavingAt, g.ID)
