--- a/endpoint/ledger.go
+++ b/endpoint/ledger.go
@@ -21,8 +21,8 @@
 	return out
 }
 
-// Booking is the value of a VM's row: the one group that it belongs to.
-type Booking struct {
+// Assignment is the value of a VM's row: the one group that it belongs to.
+type Assignment struct {
 	Group string `json:"group"`
 }
 
@@ -108,7 +108,7 @@
 	if err != nil {
 		return redwinghall.NewOpError("Ledger.Put", redwinghall.TableUnavailable, err)
 	}
-	booking, err := json.Marshal(Booking{Group: g.ID})
+	booking, err := json.Marshal(Assignment{Group: g.ID})
 	if err != nil {
 		return redwinghall.NewOpError("Ledger.Put", redwinghall.TableUnavailable, err)
 	}
--- a/endpoint/manager_test.go
+++ b/endpoint/manager_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	for _, row := range vmRows {
-		var b endpoint.Booking
+		var b endpoint.Assignment
 		require.NoError(t, json.Unmarshal(row.Value, &b))
 		vm := strings.TrimPrefix(row.Key, "vm/"+zone+"/")
 		require.Equal(t, b.Group, members[vm])
