--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -1,5 +1,5 @@
-// Package endpoint speaks to model engines: it asks for their reports, gives
-// them orders, and keeps the groups of one zone formed.
+// Package endpoint communicates with model engines: it polls their reports, sends
+// them orders, and manages the groups of one zone.
 package endpoint
 
 import (
@@ -17,14 +17,14 @@
 	"redwinghall"
 )
 
-// Kind says what an endpoint error means.
+// Kind classifies endpoint errors.
 type Kind string
 
 // The kinds of endpoint error.
 const (
-	Unreachable Kind = "endpoint_unreachable" // silent, or the way to it is
-	Refused     Kind = "endpoint_refused"     // its VM answers, its process is gone
-	StaleOrder  Kind = "stale_order"          // the engine has obeyed a higher fencing number
+	Unreachable Kind = "endpoint_unreachable" // no response; the endpoint or the network may be down
+	Refused     Kind = "endpoint_refused"     // the VM responds, but the process is not running
+	StaleOrder  Kind = "stale_order"          // the engine has accepted a higher fencing number
 	BadAnswer   Kind = "bad_answer"
 )
 
@@ -38,11 +38,11 @@
 )
 
 const (
-	dialTimeout = 300 * time.Millisecond
-	maxAnswer   = 64 << 10
+	dialTimeout      = 300 * time.Millisecond
+	maxResponseBytes = 64 << 10
 )
 
-// Client is an Engine over HTTP.
+// Client implements redwinghall.Engine over HTTP.
 type Client struct {
 	client *http.Client
 	// Timeout bounds each call.
@@ -93,29 +93,29 @@
 	if err != nil {
 		return nil, redwinghall.NewOpError(op, Unreachable, err)
 	}
-	request.Header.Set("User-Agent", "") // nobody reads it, and polls are many
-	answer, err := c.client.Do(request)
+	request.Header.Set("User-Agent", "") // saves bytes: polls are frequent, and engines do not use the header
+	response, err := c.client.Do(request)
 	if err != nil {
 		return nil, redwinghall.NewOpError(op, kindOf(err), err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, redwinghall.NewOpError(op, Unreachable, err)
 	}
-	switch answer.StatusCode {
+	switch response.StatusCode {
 	case http.StatusOK:
 		return data, nil
 	case http.StatusConflict:
 		return nil, redwinghall.NewOpError(op, StaleOrder, nil)
 	default:
-		return nil, redwinghall.NewOpError(op, BadAnswer, fmt.Errorf("status %d", answer.StatusCode))
+		return nil, redwinghall.NewOpError(op, BadAnswer, fmt.Errorf("status %d", response.StatusCode))
 	}
 }
 
-// kindOf tells a process that is gone from silence. A connection that was
-// refused or reset means that the VM is there and its process is not; a
-// time-out may be the network's.
+// kindOf distinguishes a process that is not running from an endpoint that does
+// not respond. A connection that is refused or reset means that the VM is up and
+// the process is not; a timeout may be caused by the network.
 func kindOf(err error) Kind {
 	gone := errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF)
 	if gone {
--- a/endpoint/holder.go
+++ b/endpoint/lease.go
@@ -13,22 +13,23 @@
 	"redwinghall/ramp"
 )
 
-// LeaseStatus is what a controller knows of the zone's lease.
+// LeaseStatus is a controller's view of the zone's lease.
 type LeaseStatus struct {
 	Holder  string
 	Fencing uint64
 	Holding bool
-	until   time.Time // when this controller stops to hold it
+	until   time.Time // when this controller stops holding it
 }
 
 func (l LeaseStatus) holdsAt(now time.Time) bool { return l.Holding && now.Before(l.until) }
 
-// Lease returns what is known of the lease.
+// Lease returns the lease status as of the last Tick.
 func (m *Manager) Lease() LeaseStatus { return *m.status.Load() }
 
-// granter answers routers that ask for cold groups while this controller
-// holds the lease. It looks at the lease's end at each question, because a
-// frozen controller thaws with a successor beside it.
+// granter returns the function that grants cold groups to routers while this
+// controller holds the lease, and nil if it does not hold it. The function checks
+// the end of the lease at each request, because a controller that was paused may
+// resume after another has acquired the lease.
 func (m *Manager) granter(now time.Time, holds bool) peer.Granter {
 	if !holds {
 		return nil
@@ -43,8 +44,8 @@
 	}
 }
 
-// Release gives the lease up when this controller stops, so that the zone is
-// not without a holder until the lease lapses. Tick must not run any more.
+// Release releases the lease when this controller stops, so that the zone is not
+// without a holder until the lease expires. Tick must not be called afterwards.
 func (m *Manager) Release(ctx context.Context) {
 	if !m.lease.Holds(time.Now()) {
 		return
@@ -67,16 +68,16 @@
 	return rows[0], rows[1], nil
 }
 
-// watchParts is how often in a lease's duration a watching controller looks at
-// it. Watching more often would take over hardly sooner, and with hundreds of
-// controllers it would be the largest part of what the platform's table reads.
-const watchParts = 4
+// leaseReadsPerDuration is how many times per lease duration a watching controller
+// reads the lease. More reads would hardly speed up a takeover, and with hundreds of
+// controllers they would be the largest part of the reads of the platform's table.
+const leaseReadsPerDuration = 4
 
 func (m *Manager) stepLease(ctx context.Context, now time.Time) error {
-	if !m.lease.Holds(now) && now.Before(m.nextLook) {
+	if !m.lease.Holds(now) && now.Before(m.nextLeaseRead) {
 		return nil
 	}
-	m.nextLook = now.Add(m.config.Lease.Duration / watchParts)
+	m.nextLeaseRead = now.Add(m.config.Lease.Duration / leaseReadsPerDuration)
 	leaseRow, fenceRow, err := m.readLease(ctx)
 	if err != nil {
 		return err
--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -16,26 +16,26 @@
 	"redwinghall/place"
 )
 
-// ManagerConfig says how one controller keeps its zone.
+// ManagerConfig holds the settings with which a controller manages its zone.
 type ManagerConfig struct {
 	AvailabilityZone string
 	Controller       string
 	Lease            lease.Config
-	// LostAfter is how long a member may be silent before it is replaced.
+	// LostAfter is how long a member may be unresponsive before it is replaced.
 	LostAfter time.Duration
-	// SettleTime is how long a leaving group keeps its VMs at least, so that
-	// every router has heard of it.
+	// SettleTime is how long a leaving group keeps its VMs at least, so that every
+	// router learns that it is leaving.
 	SettleTime time.Duration
-	// DrainTimeout is how long a leaving group may finish its work.
+	// DrainTimeout is how long a leaving group may take to finish its requests.
 	DrainTimeout time.Duration
-	// MaxLoading bounds the groups that load at once, for the weight store.
+	// MaxLoading limits how many groups load at once, to protect the weight store.
 	MaxLoading int
-	// OrderTimeout is how long an order may be on its way.
+	// OrderTimeout is the longest time that an order may be in transit.
 	OrderTimeout time.Duration
 }
 
-// Manager keeps the groups of one zone formed while its controller holds the
-// zone's lease, and watches the lease otherwise.
+// Manager manages the groups of one zone while its controller holds the zone's
+// lease, and watches the lease otherwise.
 type Manager struct {
 	config ManagerConfig
 	table  redwinghall.Table
@@ -43,35 +43,35 @@
 	lister redwinghall.VMLister
 	placer place.Placer
 	node   *peer.Node
-	ledger *GroupStore
+	groups *GroupStore
 
-	lease      lease.State
-	holding    bool
-	quietUntil time.Time
-	nextLook   time.Time            // when a watching controller reads the lease again
-	seen       map[string]time.Time // when each VM last answered
-	silent     map[string]silence   // VMs that do not answer
-	leavingAt  map[string]time.Time // when each group was found leaving
-	counter    uint64               // of this holder's registers
-	published  map[string]string    // last value of each counted register
-	status     atomic.Pointer[LeaseStatus]
+	lease              lease.State
+	holding            bool
+	ordersBlockedUntil time.Time
+	nextLeaseRead      time.Time                 // when a watching controller reads the lease again
+	lastSeen           map[string]time.Time      // when each VM last responded
+	unresponsive       map[string]unresponsiveVM // VMs that do not respond
+	leavingAt          map[string]time.Time      // when each group was first seen leaving
+	entryCounter       uint64                    // number of the last entry published by publishValue
+	published          map[string]string         // last value of each of these entries, by key
+	status             atomic.Pointer[LeaseStatus]
 }
 
-// NewManager returns a manager. Its Tick does all the work.
+// NewManager returns a manager. The caller must call its Tick periodically.
 func NewManager(c ManagerConfig, table redwinghall.Table, engine redwinghall.Engine, lister redwinghall.VMLister, placer place.Placer, node *peer.Node) *Manager {
 	m := &Manager{
 		config: c, table: table, engine: engine, lister: lister, placer: placer, node: node,
-		ledger: NewGroupStore(c.AvailabilityZone, table),
-		lease:  lease.NewState(c.Lease),
-		seen:   map[string]time.Time{}, silent: map[string]silence{},
+		groups:   NewGroupStore(c.AvailabilityZone, table),
+		lease:    lease.NewState(c.Lease),
+		lastSeen: map[string]time.Time{}, unresponsive: map[string]unresponsiveVM{},
 		leavingAt: map[string]time.Time{}, published: map[string]string{},
 	}
 	m.status.Store(&LeaseStatus{})
 	return m
 }
 
-// Tick renews or watches the lease, and when this controller holds it brings
-// the zone one step closer to the manifest. Calls must not overlap.
+// Tick renews or watches the lease and, if this controller holds it, brings the
+// zone one step closer to the manifest. Calls must not overlap.
 func (m *Manager) Tick(ctx context.Context, now time.Time) {
 	if err := m.stepLease(ctx, now); err != nil {
 		klog.V(1).InfoS("lease_step_failed", "cause", err.Error())
@@ -81,29 +81,29 @@
 	m.status.Store(&LeaseStatus{Holder: m.lease.Holder(), Fencing: m.lease.Fencing(), Holding: holds, until: m.lease.HeldUntil()})
 	if holds != m.holding {
 		m.holding = holds
-		m.ledger.Invalidate()
-		// Another holder may have published since: what was published counts
-		// for nothing under the new fencing number.
+		m.groups.Invalidate()
+		// Another holder may have published values since, so all values are
+		// published again under the new fencing number.
 		m.published = map[string]string{}
-		m.counter = 0
-		// The last order of the previous holder may still be on its way.
-		m.quietUntil = now.Add(m.config.OrderTimeout)
+		m.entryCounter = 0
+		// The last order of the previous holder may still be in transit.
+		m.ordersBlockedUntil = now.Add(m.config.OrderTimeout)
 		m.node.SetGranter(m.granter(now, holds))
 		klog.InfoS("lease_changed", "holding", holds, "fencing", m.lease.Fencing())
 	}
-	if !holds || now.Before(m.quietUntil) {
+	if !holds || now.Before(m.ordersBlockedUntil) {
 		return
 	}
 	if err := m.stepGroups(ctx, now); err != nil {
-		m.ledger.Invalidate()
+		m.groups.Invalidate()
 		klog.V(1).InfoS("group_step_failed", "cause", err.Error())
 	}
 }
 
-// stepGroups does one round of a holder's work.
+// stepGroups does one round of the work of the lease holder.
 func (m *Manager) stepGroups(ctx context.Context, now time.Time) error {
-	if !m.ledger.Loaded() {
-		if err := m.ledger.Load(ctx); err != nil {
+	if !m.groups.Loaded() {
+		if err := m.groups.Load(ctx); err != nil {
 			return err
 		}
 		m.publishGroups()
@@ -133,14 +133,15 @@
 	return nil
 }
 
-// isWhole reports whether a group was seen whole lately, by any router.
+// isWhole reports whether any router has recently observed the group as whole,
+// that is with all members alive in the current generation.
 func (m *Manager) isWhole(g redwinghall.Group, now time.Time) bool {
 	h, ok := m.node.Health.Get(g.ID)
 	return ok && h.Whole(g, now, m.config.LostAfter)
 }
 
 func (m *Manager) putGroup(ctx context.Context, g redwinghall.Group) error {
-	if err := m.ledger.Put(ctx, m.lease.FenceCheck(m.config.AvailabilityZone), g); err != nil {
+	if err := m.groups.Put(ctx, m.lease.FenceCheck(m.config.AvailabilityZone), g); err != nil {
 		return err
 	}
 	m.publishGroups()
@@ -148,7 +149,7 @@
 }
 
 func (m *Manager) dropGroup(ctx context.Context, g redwinghall.Group) error {
-	if err := m.ledger.Delete(ctx, m.lease.FenceCheck(m.config.AvailabilityZone), g.ID); err != nil {
+	if err := m.groups.Delete(ctx, m.lease.FenceCheck(m.config.AvailabilityZone), g.ID); err != nil {
 		return err
 	}
 	delete(m.leavingAt, g.ID)
@@ -162,8 +163,8 @@
 	return m.putGroup(ctx, g.WithLeaving())
 }
 
-// newGroupID names a group for good: the fencing number keeps two holders
-// apart, the random part two groups of one holder.
+// newGroupID returns an id that is never reused: the fencing number distinguishes
+// holders, and the random part distinguishes the groups of one holder.
 func (m *Manager) newGroupID(model string) string {
 	return fmt.Sprintf("%s-%d-%s", model, m.lease.Fencing(), rand.Text()[:6])
 }
--- a/endpoint/manager_test.go
+++ b/endpoint/manager_test.go
@@ -16,9 +16,9 @@
 	"redwinghall/standin/table"
 )
 
-// groups returns the zone's groups as the table has them, and checks that no
-// VM belongs to two of them: each member's row names its group, and no row
-// names a group that does not have it.
+// groups returns the zone's groups from the table, and checks that no VM belongs to
+// two of them: each member's row names its group, and no row names a group that the
+// VM is not a member of.
 func groups(t *testing.T, d *rwhtest.Deployment, zone string) map[string]redwinghall.Group {
 	t.Helper()
 	var rows, vmRows []redwinghall.Row
@@ -28,7 +28,7 @@
 		vmRows, err = d.Table.Scan(t.Context(), "vm/"+zone+"/")
 		rows, err2 = d.Table.Scan(t.Context(), "group/"+zone+"/")
 		return err0 == nil && err == nil && err2 == nil && sameRows(before, rows)
-	}, time.Minute, time.Millisecond, "a moment in which nothing changes")
+	}, time.Minute, time.Millisecond, "no consistent read: the rows kept changing")
 	out := map[string]redwinghall.Group{}
 	members := map[string]string{}
 	for _, row := range rows {
@@ -63,7 +63,7 @@
 	return true
 }
 
-func only(t *testing.T, d *rwhtest.Deployment) redwinghall.Group {
+func onlyGroup(t *testing.T, d *rwhtest.Deployment) redwinghall.Group {
 	t.Helper()
 	all := groups(t, d, "tartu")
 	require.Len(t, all, 1)
@@ -73,33 +73,32 @@
 	return redwinghall.Group{}
 }
 
-// A driver's question goes to a replica whose second VM has just started anew
-// and has nothing loaded.
-// Order: the VM restarts under its old address and answers as before.
-// Cause: an answer was taken for a sign that nothing had changed.
+// A member restarts at its old address and responds as before, but has no weights
+// loaded. The group must get a new generation; a response alone does not show that
+// the member is unchanged, and requests must not start in the incomplete group.
 func TestRestartedMemberIsOrderedAnew(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{VMsPerGroup: 2})
 	d.Submit("v1")
-	before := only(t, d)
+	before := onlyGroup(t, d)
 	d.Fleet.VM(before.Members[1].VM).Restart()
 	d.Eventually("the group is under a new generation and whole", func() bool {
-		g := only(t, d)
+		g := onlyGroup(t, d)
 		s := d.Routers[0].Board.View().Models[rwhtest.Model].Slots
 		return g.Generation > before.Generation && len(s) == 1 && s[0].Group().Generation == g.Generation &&
 			s[0].Usable(time.Now(), time.Minute)
 	})
-	begun := d.Fleet.Record().Incomplete
+	incompleteBefore := d.Fleet.Record().Incomplete
 	require.Equal(t, 10, d.Load(10, 2, 4, 0).Whole)
-	require.Equal(t, begun, d.Fleet.Record().Incomplete, "nothing began in an incomplete group")
+	require.Equal(t, incompleteBefore, d.Fleet.Record().Incomplete, "a request started in an incomplete group")
 }
 
-// An accelerator stands idle beside a group that waits for a dead VM.
-// Order: a member dies; a spare VM of the same fabric domain is free; another
-// free VM is dead too but the platform's list still calls it live.
+// A member fails while one VM of the same fabric domain is free, and another free VM
+// has failed too but is still live in the platform's list. The group must take the
+// live one rather than wait for a failed VM while an accelerator is idle.
 func TestLostMemberIsReplacedByALiveSpare(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{VMsPerGroup: 2, VMsPerZone: 4, LostAfter: time.Second})
 	d.Submit("v1")
-	before := only(t, d)
+	before := onlyGroup(t, d)
 	var free []string
 	for _, vm := range d.VMs().Workers("tartu") {
 		if vm.ID != before.Members[0].VM && vm.ID != before.Members[1].VM {
@@ -123,14 +122,12 @@
 	require.Equal(t, 10, d.Load(10, 2, 4, 0).Whole)
 }
 
-// A storm takes a whole fabric domain; drivers wait although another domain
-// has VMs to spare.
-// Order: both VMs of the group's domain die at once; the platform's list still
-// calls them live.
-func TestDarkFabricDomainIsLeft(t *testing.T) {
+// Both VMs of the group's fabric domain fail at once and are still live in the
+// platform's list. A new group must form in the other domain, which has free VMs.
+func TestGroupMovesFromFailedFabricDomain(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{VMsPerGroup: 2, VMsPerZone: 4, DomainSize: 2, LostAfter: time.Second})
 	d.Submit("v1")
-	before := only(t, d)
+	before := onlyGroup(t, d)
 	for _, m := range before.Members {
 		d.Fleet.VM(m.VM).Kill()
 	}
@@ -144,12 +141,12 @@
 	})
 	d.WaitServing("v1")
 	require.Equal(t, 10, d.Load(10, 2, 4, 0).Whole)
-	require.NotEqual(t, before.FabricDomain, only(t, d).FabricDomain)
+	require.NotEqual(t, before.FabricDomain, onlyGroup(t, d).FabricDomain)
 }
 
-// Two groups form over one VM after the table's answers were lost.
-// Order: twelve transactions in a row take effect without an answer.
-// Cause: the holder believed that nothing had been written and placed again.
+// Twelve transactions in a row are carried out but their responses are lost. The
+// holder must not assume that nothing was written and place the same VMs again, or
+// two groups would share a VM.
 func TestLostTableAnswersFormNoGroupTwice(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{VMsPerGroup: 2, Replicas: 4, VMsPerZone: 9})
 	d.Table.SetFaults(table.Faults{LoseAnswers: 12})
@@ -157,21 +154,20 @@
 	require.Len(t, groups(t, d, "tartu"), 4)
 }
 
-// An engine that does not check who orders it is taken into a group that does
-// not exist any more.
-// Order: a holder that was frozen since long sends its last order.
-// Judge: the router never counts the group as whole while the engine says
-// otherwise, and the engine ends up where the table has it.
+// A former holder that was paused for a long time orders an engine, which does not
+// check fencing numbers, to join a group that no longer exists. Routers must not
+// count the engine's group as whole while the engine reports another one, and the
+// holder must order the engine back into its group.
 func TestStaleOrderToAnEngineThatIgnoresFencing(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{VMsPerGroup: 2, Engine: engine.Config{IgnoreFencing: true}})
 	d.Submit("v1")
-	before := only(t, d)
+	before := onlyGroup(t, d)
 	stale := redwinghall.Order{Fencing: 0, Group: "old-group", Generation: 1, Role: redwinghall.RoleMember,
 		Model: rwhtest.Model, Version: "v0", Members: before.Members}
 	client := endpoint.NewClient(10 * time.Second)
 	require.NoError(t, client.Order(t.Context(), before.Members[1].Address, stale))
 	d.Eventually("the engine is back under a new order", func() bool {
-		g := only(t, d)
+		g := onlyGroup(t, d)
 		r, err := client.Report(t.Context(), before.Members[1].Address)
 		return err == nil && g.Generation > before.Generation && r.Group == g.ID && r.Generation == g.Generation
 	})
@@ -183,13 +179,13 @@
 	d := rwhtest.Start(t, rwhtest.Options{})
 	d.Submit("v1")
 	client := endpoint.NewClient(10 * time.Second)
-	err := client.Order(t.Context(), only(t, d).Members[0].Address, redwinghall.Order{Fencing: 0, Group: "old"})
+	err := client.Order(t.Context(), onlyGroup(t, d).Members[0].Address, redwinghall.Order{Fencing: 0, Group: "old"})
 	require.Equal(t, endpoint.StaleOrder, redwinghall.KindOf[endpoint.Kind](err))
 }
 
-// Drivers wait while a new version loads although the old one could serve.
-// Order: a manifest with a new version comes into force; VMs are free for one
-// group at a time. Judge: every request during the change gets its answer.
+// A manifest with a new version is accepted while VMs are free for only one group at
+// a time. The old version must serve until the new one is loaded: every request
+// during the update is answered.
 func TestNewVersionIsUpBeforeTheOldLeaves(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{VMsPerGroup: 2, Replicas: 2, VMsPerZone: 6})
 	d.Submit("v1")
@@ -207,12 +203,12 @@
 	require.Zero(t, d.Fleet.Record().Incomplete)
 }
 
-// An endpoint that is leaving gets new work after its notice.
-// Order: the platform's list calls a member and a service VM leaving.
+// The platform's list marks a member and a service VM as leaving. Neither may
+// receive new requests, and another group must replace the member's.
 func TestLeavingVMsAreLetGo(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{VMsPerGroup: 2, VMsPerZone: 4})
 	d.Submit("v1")
-	leaving := only(t, d).Members[0].VM
+	leaving := onlyGroup(t, d).Members[0].VM
 	vms := d.VMs()
 	for i := range vms {
 		if vms[i].ID == leaving || vms[i].Service != "" {
--- a/endpoint/members.go
+++ b/endpoint/members.go
@@ -10,47 +10,48 @@
 	"redwinghall"
 )
 
-// silence is how long, and how often, a VM has not answered.
-type silence struct {
-	since time.Time
-	asked int
+// unresponsiveVM says since when a VM has not responded, and to how many requests.
+type unresponsiveVM struct {
+	since    time.Time
+	requests int
 }
 
-// minAsked is how often a VM must have left this controller's own question
-// unanswered before it is lost: one lost answer is no loss.
-const minAsked = 2
+// minUnanswered is how many of this controller's own requests a VM must leave
+// unanswered before it counts as lost. A single lost response is not enough.
+const minUnanswered = 2
 
-func (m *Manager) noteAnswered(vm string, now time.Time) {
-	m.seen[vm] = now
-	delete(m.silent, vm)
+func (m *Manager) recordResponse(vm string, now time.Time) {
+	m.lastSeen[vm] = now
+	delete(m.unresponsive, vm)
 }
 
-// noteUnanswered notes a question without an answer. The silence counts from when
-// the VM was last seen alive by anyone, not from when this controller began to
-// ask.
-func (m *Manager) noteUnanswered(vm string, now time.Time) {
-	s, ok := m.silent[vm]
+// recordNoResponse records a request without a response. The VM counts as
+// unresponsive from when any process last saw it alive, not from this controller's
+// first request.
+func (m *Manager) recordNoResponse(vm string, now time.Time) {
+	s, ok := m.unresponsive[vm]
 	if !ok {
 		s.since = now
-		if seen, known := m.seen[vm]; known {
+		if seen, known := m.lastSeen[vm]; known {
 			s.since = seen
 		}
 	}
-	s.asked++
-	m.silent[vm] = s
+	s.requests++
+	m.unresponsive[vm] = s
 }
 
-// isLost reports whether a VM has been silent for too long.
+// isLost reports whether a VM has been unresponsive for too long.
 func (m *Manager) isLost(vm string, now time.Time) bool {
-	s, ok := m.silent[vm]
-	return ok && s.asked >= minAsked && now.Sub(s.since) >= m.config.LostAfter
+	s, ok := m.unresponsive[vm]
+	return ok && s.requests >= minUnanswered && now.Sub(s.since) >= m.config.LostAfter
 }
 
-// stepMembers replaces lost members, orders anew groups that are broken
-// although all members answer, and lets groups go whose VMs are leaving.
+// stepMembers replaces lost members, starts a new generation of groups that are
+// broken although all members respond, and starts to drain groups with VMs that
+// are leaving.
 func (m *Manager) stepMembers(ctx context.Context, now time.Time, vms redwinghall.VMs, _ redwinghall.Manifest) error {
 	byID := vms.ByID()
-	for _, g := range m.ledger.Groups() {
+	for _, g := range m.groups.Groups() {
 		if g.Leaving {
 			continue
 		}
@@ -84,9 +85,9 @@
 	return ok && h.Broken && h.Generation == g.Generation
 }
 
-// replaceLost puts spare VMs of the same fabric domain in the places of lost
-// members. Without enough spares the group is dissolved, so that its other
-// VMs can serve elsewhere.
+// replaceLost replaces lost members with free VMs of the same fabric domain. If
+// there are not enough of them, the group is dissolved, so that its other VMs can
+// join other groups.
 func (m *Manager) replaceLost(ctx context.Context, now time.Time, g redwinghall.Group, vms redwinghall.VMs) error {
 	spares := m.freeVMs(ctx, now, vms, g.FabricDomain)
 	members := slices.Clone(g.Members)
@@ -107,18 +108,18 @@
 }
 
 // freeVMs returns the VMs of a domain ("" for all) that belong to no group and
-// answer now. The platform's list lags, so each is asked.
+// respond now. The platform's list lags, so each VM is polled.
 func (m *Manager) freeVMs(ctx context.Context, now time.Time, vms redwinghall.VMs, domain string) redwinghall.VMs {
 	var candidates redwinghall.VMs
 	var members []redwinghall.Member
 	for _, vm := range vms.Workers(m.config.AvailabilityZone) {
-		if m.ledger.Assigned(vm.ID) || (domain != "" && vm.FabricDomain != domain) {
+		if m.groups.Assigned(vm.ID) || (domain != "" && vm.FabricDomain != domain) {
 			continue
 		}
 		candidates = append(candidates, vm)
 		members = append(members, redwinghall.Member{VM: vm.ID, Address: vm.Address})
 	}
-	reports := m.askAll(ctx, now, members)
+	reports := m.requestReports(ctx, now, members)
 	var out redwinghall.VMs
 	for i, vm := range candidates {
 		if reports[i] != nil {
--- a/endpoint/orders.go
+++ b/endpoint/orders.go
@@ -9,15 +9,15 @@
 	"redwinghall"
 )
 
-// stepOrders asks the members of groups that are not whole, and orders those
-// that are not in their group's present generation. A group that is whole is
-// left alone: its routers ask its members already.
+// stepOrders polls the members of groups that are not whole, and sends orders to
+// those that are not in their group's current generation. Groups that are whole are
+// skipped, because routers already poll their members.
 func (m *Manager) stepOrders(ctx context.Context, now time.Time, _ redwinghall.VMs, _ redwinghall.Manifest) error {
-	for _, g := range m.ledger.Groups() {
+	for _, g := range m.groups.Groups() {
 		if m.isWhole(g, now) {
 			h, _ := m.node.Health.Get(g.ID)
 			for _, member := range g.Members {
-				m.noteAnswered(member.VM, h.SeenAt)
+				m.recordResponse(member.VM, h.SeenAt)
 			}
 			continue
 		}
@@ -27,7 +27,7 @@
 }
 
 func (m *Manager) orderGroup(ctx context.Context, now time.Time, g redwinghall.Group) {
-	reports := m.askAll(ctx, now, g.Members)
+	reports := m.requestReports(ctx, now, g.Members)
 	for i, member := range g.Members {
 		r := reports[i]
 		if r == nil || (r.Group == g.ID && r.Generation == g.Generation) {
@@ -37,7 +37,7 @@
 			Fencing: m.lease.Fencing(), Group: g.ID, Generation: g.Generation,
 			Role: roleOf(i), Members: g.Members, Model: g.Model, Version: g.Version, Adapters: g.Adapters,
 		}
-		m.giveOrder(ctx, member, order)
+		m.sendOrder(ctx, member, order)
 	}
 }
 
@@ -48,15 +48,15 @@
 	return redwinghall.RoleMember
 }
 
-// giveOrder sends one order if the lease is still held.
+// sendOrder sends one order if the lease is still held.
 //
-// Guard: a controller that was frozen since its last look at the lease would
-// order endpoints beside its successor. It looks again right before each
-// order. A freeze after this look is caught by engines that check the fencing
-// number; for those that do not, routers serve only what an endpoint itself
-// reports under the group's present generation, and the holder orders anew
-// every endpoint that reports something else.
-func (m *Manager) giveOrder(ctx context.Context, member redwinghall.Member, order redwinghall.Order) {
+// A controller that was paused since its last check of the lease would send orders
+// at the same time as its successor, so it checks again right before each order.
+// A pause after this check is caught by engines that check the fencing number. For
+// engines that do not, routers use only endpoints that themselves report the
+// group's current generation, and the holder sends a new order to every endpoint
+// that reports anything else.
+func (m *Manager) sendOrder(ctx context.Context, member redwinghall.Member, order redwinghall.Order) {
 	if !m.lease.Holds(time.Now()) {
 		return
 	}
--- a/endpoint/poller.go
+++ b/endpoint/poller.go
@@ -14,12 +14,12 @@
 	"redwinghall/route"
 )
 
-// pollersPerGroup is how many routers of a zone ask the members of each
-// group: two, so that the loss of one leaves no gap. The others hear of it
-// through the exchange, so that no router asks every endpoint.
+// pollersPerGroup is how many routers of a zone poll the members of each group.
+// With two, the loss of one router leaves no gap. The other routers receive the
+// group's health from their peers, so that no router polls every endpoint.
 const pollersPerGroup = 2
 
-// Poller asks the members of those groups that fall to this router.
+// Poller polls the members of the groups that are assigned to this router.
 type Poller struct {
 	engine   redwinghall.Engine
 	node     *peer.Node
@@ -27,16 +27,16 @@
 	polls    atomic.Uint64
 }
 
-// NewPoller returns a poller that reports the health it observes to node.
+// NewPoller returns a poller that passes the health it observes to node.
 func NewPoller(engine redwinghall.Engine, node *peer.Node) *Poller {
 	return &Poller{engine: engine, node: node, trackers: map[string]*health.Tracker{}}
 }
 
-// Polls returns how many reports were asked for.
+// Polls returns how many reports were requested.
 func (p *Poller) Polls() uint64 { return p.polls.Load() }
 
-// Tick asks once for the reports of every group that falls to this router.
-// Calls of Tick must not overlap.
+// Tick polls the members of every group that is assigned to this router once.
+// Calls must not overlap.
 func (p *Poller) Tick(ctx context.Context, now time.Time) {
 	routers := RouterIDs(p.node)
 	round := kernel.NewGroup(ctx)
@@ -47,7 +47,7 @@
 			continue
 		}
 		known[g.ID] = true
-		if !slices.Contains(owners(g.ID, routers), p.node.Self.ID) {
+		if !slices.Contains(pollersOf(g.ID, routers), p.node.Self.ID) {
 			delete(p.trackers, g.ID)
 			continue
 		}
@@ -58,7 +58,7 @@
 			return nil
 		})
 	}
-	_ = round.Wait() // the rounds return no errors
+	_ = round.Wait() // the goroutines return no errors
 	for id := range p.trackers {
 		if !known[id] {
 			delete(p.trackers, id)
@@ -87,7 +87,7 @@
 			return nil
 		})
 	}
-	_ = round.Wait() // the rounds return no errors
+	_ = round.Wait() // the goroutines return no errors
 	for i, err := range errs {
 		switch {
 		case err == nil:
@@ -110,8 +110,8 @@
 	return ids
 }
 
-// owners returns the routers that ask a group's members.
-func owners(group string, routers []string) []string {
+// pollersOf returns the routers that poll a group's members.
+func pollersOf(group string, routers []string) []string {
 	left := slices.Clone(routers)
 	var out []string
 	for len(out) < pollersPerGroup && len(left) > 0 {
--- a/endpoint/publish.go
+++ b/endpoint/publish.go
@@ -12,20 +12,20 @@
 	"redwinghall/route"
 )
 
-// maxGateways is how many of a zone's routers take forwarded work.
+// maxGateways limits how many of a zone's routers accept forwarded requests.
 const maxGateways = 3
 
-// publishGroups hands the zone's groups to the peers, and the final record of
-// groups that the table no longer has.
+// publishGroups publishes the zone's groups to the peers, and a final record of
+// groups that are no longer in the table.
 func (m *Manager) publishGroups() {
-	if !m.ledger.Loaded() {
+	if !m.groups.Loaded() {
 		return
 	}
 	zone := m.config.AvailabilityZone
-	groups := m.ledger.Groups()
+	groups := m.groups.Groups()
 	var entries []peer.Entry
 	for id, g := range groups {
-		entries = append(entries, entryOf(peer.KeyGroup(zone, id), uint64(m.ledger.Version(id)), g))
+		entries = append(entries, entryOf(peer.KeyGroup(zone, id), uint64(m.groups.Version(id)), g))
 	}
 	for _, e := range m.node.Store.List(peer.PrefixGroups(zone)) {
 		var g redwinghall.Group
@@ -46,37 +46,37 @@
 func entryOf(key string, number uint64, value any) peer.Entry {
 	data, err := json.Marshal(value)
 	if err != nil {
-		klog.ErrorS(err, "register_unwritable", "key", key)
+		klog.ErrorS(err, "entry_marshal_failed", "key", key)
 	}
 	return peer.Entry{Key: key, Number: number, Value: data}
 }
 
-// publishCounted publishes a register that has no row of its own when its
-// value has changed. Its number begins with the fencing number, so that a new
-// holder's value is newer than any of the old one.
-func (m *Manager) publishCounted(key string, value any) {
+// publishValue publishes an entry that has no row in the table, if its value has
+// changed. The upper bits of its number are the fencing number, so that a new
+// holder's value counts as newer than any of the previous holder.
+func (m *Manager) publishValue(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil || m.published[key] == string(data) {
 		return
 	}
 	m.published[key] = string(data)
-	m.counter++
-	m.node.Publish(peer.Entry{Key: key, Number: m.lease.Fencing()<<32 | m.counter, Value: data})
+	m.entryCounter++
+	m.node.Publish(peer.Entry{Key: key, Number: m.lease.Fencing()<<32 | m.entryCounter, Value: data})
 }
 
-// publishServices tells where the zone's plain services run. A VM that is
-// leaving is left out, so that it receives no new work.
+// publishServices publishes the endpoints of the zone's plain services. A VM that
+// is leaving is omitted, so that it receives no new requests.
 func (m *Manager) publishServices(vms redwinghall.VMs) {
 	var out redwinghall.ServiceEndpoints
 	for _, vm := range vms.Services(m.config.AvailabilityZone) {
 		out = append(out, redwinghall.ServiceEndpoint{Service: vm.Service, VM: vm.ID, Address: vm.Address})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].VM < out[j].VM })
-	m.publishCounted(peer.KeyServices(m.config.AvailabilityZone), out)
+	m.publishValue(peer.KeyServices(m.config.AvailabilityZone), out)
 }
 
-// publishGateway tells the other zones which routers take forwarded work, and
-// for what.
+// publishGateway publishes to the other zones which routers accept forwarded
+// requests, and for which models and services.
 func (m *Manager) publishGateway(vms redwinghall.VMs) {
 	gateway := route.Gateway{AvailabilityZone: m.config.AvailabilityZone}
 	routers := m.node.Live(peer.Router)
@@ -84,8 +84,8 @@
 	for _, r := range routers[:min(maxGateways, len(routers))] {
 		gateway.Routers = append(gateway.Routers, r.CallerAddress)
 	}
-	for _, g := range m.ledger.Groups() {
-		if !g.Leaving && !slices.Contains(gateway.Models, g.Model) && m.readyWord(g) {
+	for _, g := range m.groups.Groups() {
+		if !g.Leaving && !slices.Contains(gateway.Models, g.Model) && m.isReady(g) {
 			gateway.Models = append(gateway.Models, g.Model)
 		}
 	}
@@ -96,10 +96,10 @@
 		}
 	}
 	slices.Sort(gateway.Services)
-	m.publishCounted(peer.KeyGateway(m.config.AvailabilityZone), gateway)
+	m.publishValue(peer.KeyGateway(m.config.AvailabilityZone), gateway)
 }
 
-func (m *Manager) readyWord(g redwinghall.Group) bool {
+func (m *Manager) isReady(g redwinghall.Group) bool {
 	h, ok := m.node.Health.Get(g.ID)
 	return ok && h.Ready && !h.Broken && h.Generation == g.Generation
 }
--- a/endpoint/ask.go
+++ b/endpoint/reports.go
@@ -8,8 +8,9 @@
 	"redwinghall/kernel"
 )
 
-// askAll asks all members at once for their reports; nil where none came.
-func (m *Manager) askAll(ctx context.Context, now time.Time, members []redwinghall.Member) []*redwinghall.Report {
+// requestReports requests the reports of all members concurrently. The result is
+// nil for a member that did not respond.
+func (m *Manager) requestReports(ctx context.Context, now time.Time, members []redwinghall.Member) []*redwinghall.Report {
 	reports := make([]*redwinghall.Report, len(members))
 	round := kernel.NewGroup(ctx)
 	for i, member := range members {
@@ -20,12 +21,12 @@
 			return nil
 		})
 	}
-	_ = round.Wait() // the rounds return no errors
+	_ = round.Wait() // the goroutines return no errors
 	for i, member := range members {
 		if reports[i] != nil {
-			m.noteAnswered(member.VM, now)
+			m.recordResponse(member.VM, now)
 		} else {
-			m.noteUnanswered(member.VM, now)
+			m.recordNoResponse(member.VM, now)
 		}
 	}
 	return reports
--- a/endpoint/versions.go
+++ b/endpoint/versions.go
@@ -10,8 +10,9 @@
 	"redwinghall/place"
 )
 
-// stepVersions lets groups go that the manifest no longer wants: of models or
-// versions that it does not name, and those above the number it asks for.
+// stepVersions starts to drain the groups that the manifest no longer specifies:
+// those of models or versions that it does not name, and those in excess of the
+// number of replicas.
 func (m *Manager) stepVersions(ctx context.Context, now time.Time, _ redwinghall.VMs, manifest redwinghall.Manifest) error {
 	wanted := map[string]redwinghall.Model{}
 	for _, model := range manifest.Models {
@@ -31,7 +32,7 @@
 // byModel returns the groups that are not leaving, by model, in a fixed order.
 func (m *Manager) byModel() map[string]redwinghall.Groups {
 	out := map[string]redwinghall.Groups{}
-	for _, g := range m.ledger.Groups() {
+	for _, g := range m.groups.Groups() {
 		if !g.Leaving {
 			out[g.Model] = append(out[g.Model], g)
 		}
@@ -42,9 +43,9 @@
 	return out
 }
 
-// surplus returns which groups of one model may leave now. An old version's
-// groups leave one for each new one that is whole, so that the model is
-// served all through an update where VMs allow.
+// surplus returns the groups of one model that may leave now. One group of an old
+// version leaves for each new group that is whole, so that the model is served
+// throughout an update if there are enough VMs.
 func surplus(model redwinghall.Model, wanted bool, groups redwinghall.Groups, zone string, whole func(redwinghall.Group) bool) redwinghall.Groups {
 	want := model.Replicas[zone]
 	if !wanted || want == 0 {
@@ -53,7 +54,7 @@
 	var present, old redwinghall.Groups
 	ready := 0
 	for _, g := range groups {
-		if !sameServing(g, model) {
+		if !matchesModel(g, model) {
 			old = append(old, g)
 			continue
 		}
@@ -70,26 +71,26 @@
 	return append(out, old[:min(canGo, len(old))]...)
 }
 
-// sameServing reports whether a group serves what the manifest asks for.
-func sameServing(g redwinghall.Group, model redwinghall.Model) bool {
+// matchesModel reports whether a group serves what the manifest specifies.
+func matchesModel(g redwinghall.Group, model redwinghall.Model) bool {
 	return g.Version == model.Version && slices.Equal(g.Adapters, model.Adapters) &&
 		len(g.Members) == model.VMsPerReplica &&
 		g.MaxInFlight == model.MaxInFlight && g.ColdInFlight == model.ColdInFlight && g.WarmAfter == model.WarmAfter
 }
 
-// stepForm forms missing groups from free VMs, no more at once than the
-// weight store bears. When no VM is free for a new version, one old group
-// makes room.
+// stepForm forms missing groups from free VMs, at most MaxLoading at once to limit
+// the load on the weight store. If no VMs are free for a new version, one group of
+// an old version is drained.
 func (m *Manager) stepForm(ctx context.Context, now time.Time, vms redwinghall.VMs, manifest redwinghall.Manifest) error {
 	room := m.config.MaxLoading - m.loading(now)
 	if room <= 0 {
 		return nil
 	}
-	wants := m.wants(manifest, room)
-	if len(wants) == 0 {
+	demands := m.missingGroups(manifest, room)
+	if len(demands) == 0 {
 		return nil
 	}
-	placements := m.placer.Place(m.freeVMs(ctx, now, vms, ""), wants)
+	placements := m.placer.Place(m.freeVMs(ctx, now, vms, ""), demands)
 	for _, p := range placements[:min(room, len(placements))] {
 		if err := m.putGroup(ctx, m.newGroup(p)); err != nil {
 			return err
@@ -104,7 +105,7 @@
 // loading counts the groups that are not whole yet.
 func (m *Manager) loading(now time.Time) int {
 	n := 0
-	for _, g := range m.ledger.Groups() {
+	for _, g := range m.groups.Groups() {
 		if !g.Leaving && !m.isWhole(g, now) {
 			n++
 		}
@@ -112,14 +113,14 @@
 	return n
 }
 
-func (m *Manager) wants(manifest redwinghall.Manifest, room int) []place.Want {
+func (m *Manager) missingGroups(manifest redwinghall.Manifest, room int) []place.Want {
 	byModel := m.byModel()
 	var out []place.Want
 	for _, model := range manifest.Models {
 		have := 0
 		domains := map[string]int{}
 		for _, g := range byModel[model.ID] {
-			if sameServing(g, model) {
+			if matchesModel(g, model) {
 				have++
 			}
 			domains[g.FabricDomain]++
@@ -132,20 +133,19 @@
 	return out
 }
 
-// makeRoom lets one group of an old version go when nothing else frees VMs
-// for the new one. The last group that serves goes only when there is no
-// other way at all.
+// makeRoom drains one group of an old version if nothing else frees VMs for the new
+// one. The last group that serves is drained only if there is no alternative.
 func (m *Manager) makeRoom(ctx context.Context, now time.Time, manifest redwinghall.Manifest) error {
-	for _, g := range m.ledger.Groups() {
+	for _, g := range m.groups.Groups() {
 		if g.Leaving {
-			return nil // VMs are about to become free
+			return nil // VMs will soon be free
 		}
 	}
 	byModel := m.byModel()
 	for _, model := range manifest.Models {
 		var old redwinghall.Groups
 		for _, g := range byModel[model.ID] {
-			if !sameServing(g, model) {
+			if !matchesModel(g, model) {
 				old = append(old, g)
 			}
 		}
@@ -171,7 +171,7 @@
 
 // stepDrain frees the VMs of leaving groups that have finished their work.
 func (m *Manager) stepDrain(ctx context.Context, now time.Time, _ redwinghall.VMs, _ redwinghall.Manifest) error {
-	for _, g := range m.ledger.Groups() {
+	for _, g := range m.groups.Groups() {
 		if !g.Leaving {
 			continue
 		}
@@ -184,7 +184,7 @@
 			continue
 		}
 		for i, member := range g.Members {
-			m.giveOrder(ctx, member, redwinghall.Order{
+			m.sendOrder(ctx, member, redwinghall.Order{
 				Fencing: m.lease.Fencing(), Generation: g.Generation, Role: redwinghall.RoleIdle, Members: g.Members[i : i+1],
 			})
 		}
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// isBusy reports whether the leader has requests in progress; one that does not
-// answer has none that could still end.
+// isBusy reports whether the leader has requests in progress. A leader that does
+// not respond has none that could still complete.
 func (m *Manager) isBusy(ctx context.Context, g redwinghall.Group) bool {
 	r, err := m.engine.Report(ctx, g.Leader().Address)
 	return err == nil && r.Group == g.ID && r.Running > 0
