--- a/operator/acceptor.go
+++ b/operator/acceptor.go
@@ -29,8 +29,8 @@
 // Acceptor records operators' decisions in the platform's table.
 type Acceptor struct {
 	table redwinghall.Table
-	// Tries bounds how often a transaction is tried whose answer was lost.
-	Tries int
+	// MaxAttempts bounds how often a transaction is tried whose answer was lost.
+	MaxAttempts int
 	// Pause is the time between those tries.
 	Pause time.Duration
 }
@@ -43,7 +43,7 @@
 
 // NewAcceptor returns an acceptor of decisions.
 func NewAcceptor(table redwinghall.Table) *Acceptor {
-	return &Acceptor{table: table, Tries: defaultTries, Pause: defaultPause}
+	return &Acceptor{table: table, MaxAttempts: defaultTries, Pause: defaultPause}
 }
 
 // change computes what a decision makes of the head. It returns the number
@@ -102,7 +102,7 @@
 	const op = "Acceptor.decide"
 	maySucceedLate := false
 	var last error
-	for try := range a.Tries {
+	for try := range a.MaxAttempts {
 		if try > 0 && !kernel.Sleep(ctx, a.Pause) {
 			break
 		}
