--- a/operator/acceptor.go
+++ b/operator/acceptor.go
@@ -31,8 +31,8 @@
 	table redwinghall.Table
 	// MaxAttempts bounds how often a transaction is tried whose answer was lost.
 	MaxAttempts int
-	// Pause is the time between those tries.
-	Pause time.Duration
+	// RetryInterval is the time between those tries.
+	RetryInterval time.Duration
 }
 
 // Defaults of the acceptor.
@@ -43,7 +43,7 @@
 
 // NewAcceptor returns an acceptor of decisions.
 func NewAcceptor(table redwinghall.Table) *Acceptor {
-	return &Acceptor{table: table, MaxAttempts: defaultTries, Pause: defaultPause}
+	return &Acceptor{table: table, MaxAttempts: defaultTries, RetryInterval: defaultPause}
 }
 
 // change computes what a decision makes of the head. It returns the number
@@ -103,7 +103,7 @@
 	maySucceedLate := false
 	var last error
 	for try := range a.MaxAttempts {
-		if try > 0 && !kernel.Sleep(ctx, a.Pause) {
+		if try > 0 && !kernel.Sleep(ctx, a.RetryInterval) {
 			break
 		}
 		rows, err := a.table.Read(ctx, tablehttp.KeySubmission(sub.SubmitID), tablehttp.KeyHead)
--- a/operator/acceptor_test.go
+++ b/operator/acceptor_test.go
@@ -22,7 +22,7 @@
 
 func acceptor(t *table.Table) *operator.Acceptor {
 	a := operator.NewAcceptor(t)
-	a.Pause = time.Millisecond
+	a.RetryInterval = time.Millisecond
 	return a
 }
 
@@ -105,7 +105,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		tab := table.New()
 		a := acceptor(tab)
-		a.Pause = 0
+		a.RetryInterval = 0
 		accepted := map[uint64]string{}
 		highest := uint64(0)
 		for i := range rapid.IntRange(1, 25).Draw(rt, "submissions") {
