--- a/operator/acceptor.go
+++ b/operator/acceptor.go
@@ -10,48 +10,48 @@
 	"redwinghall/tablehttp"
 )
 
-// Submission is one decision of an operator. SubmitID names it: the same
-// submission sent again is accepted at most once.
+// Submission identifies a change that an operator requests. A submission that is
+// sent again with the same SubmitID is accepted at most once.
 type Submission struct {
 	SubmitID string `json:"submit_id"`
-	// Replaces is the generation, or the zone's number, that the operator saw
-	// when deciding. Zero means that there was none.
+	// Replaces is the generation, or the zone's number, that the change is based
+	// on. Zero means that there was none.
 	Replaces uint64 `json:"replaces"`
 }
 
-// Accepted is the answer to an accepted decision.
+// Accepted is the response to an accepted submission.
 type Accepted struct {
 	Code   redwinghall.Code `json:"code"`
 	Number uint64           `json:"number"` // the generation or zone number now in force
 	Hash   string           `json:"hash,omitempty"`
 }
 
-// Acceptor records operators' decisions in the platform's table.
+// Acceptor records accepted submissions in the platform's table.
 type Acceptor struct {
 	table redwinghall.Table
-	// MaxAttempts bounds how often a transaction is tried whose answer was lost.
+	// MaxAttempts limits how often a submission is attempted while the table fails.
 	MaxAttempts int
-	// RetryInterval is the time between those tries.
+	// RetryInterval is the time between these attempts.
 	RetryInterval time.Duration
 }
 
 // Defaults of the acceptor.
 const (
-	defaultTries = 4
-	defaultPause = 100 * time.Millisecond
+	defaultMaxAttempts   = 4
+	defaultRetryInterval = 100 * time.Millisecond
 )
 
-// NewAcceptor returns an acceptor of decisions.
+// NewAcceptor returns an acceptor with the default retry settings.
 func NewAcceptor(table redwinghall.Table) *Acceptor {
-	return &Acceptor{table: table, MaxAttempts: defaultTries, RetryInterval: defaultPause}
+	return &Acceptor{table: table, MaxAttempts: defaultMaxAttempts, RetryInterval: defaultRetryInterval}
 }
 
-// change computes what a decision makes of the head. It returns the number
-// that will be in force, or the code of a refusal.
+// change applies a submission to the head row. It returns the generation or zone
+// number that will be in force, or the code of a refusal.
 type change func(head tablehttp.Head) (next tablehttp.Head, number uint64, extra []redwinghall.Write, refused redwinghall.Code)
 
-// SubmitManifest accepts the manifest if the generation in force is still the
-// one that it replaces.
+// SubmitManifest accepts the manifest if the generation in force is still the one
+// that the submission replaces.
 func (a *Acceptor) SubmitManifest(ctx context.Context, sub Submission, m redwinghall.Manifest) (Accepted, error) {
 	data, hash, err := m.Canonical()
 	if err != nil {
@@ -71,8 +71,8 @@
 	return accepted, err
 }
 
-// SetZone takes a zone out of service or back if the operators' last decision
-// on it is still the one that the operator saw.
+// SetZone takes a zone out of service or puts it back into service, if the zone's
+// number is still the one that the submission replaces.
 func (a *Acceptor) SetZone(ctx context.Context, sub Submission, zone string, state redwinghall.ZoneState) (Accepted, error) {
 	return a.decide(ctx, sub, func(head tablehttp.Head) (tablehttp.Head, uint64, []redwinghall.Write, redwinghall.Code) {
 		present := head.Zones[zone]
@@ -84,20 +84,21 @@
 	})
 }
 
-// record remembers an accepted submission under its id.
+// record is the value of the row of an accepted submission, which is keyed by
+// the submit id.
 type record struct {
 	Number uint64 `json:"number"`
 }
 
-// decide carries a decision out in one transaction.
+// decide carries out a submission in one transaction.
 //
-// Guard: when the table's answer is lost, the decision may be recorded, or
-// may be recorded later. Submitting blindly again would find a newer head and
-// report a race that the operator lost against itself; reporting a failure
-// could leave a manifest in force that its owner believes refused. The
-// transaction also writes a row named by the submit id, which must not exist:
-// reading that row back tells whether it took effect, and trying the very
-// same transaction again can take effect only once.
+// When the table's response is lost, the change may have been recorded or may be
+// recorded later. Submitting again without a check would find a newer head and
+// report a race that the operator lost against its own submission; reporting a
+// failure could leave a manifest in force that the operator considers refused.
+// The transaction therefore also writes a row keyed by the submit id, which must
+// not exist yet. Reading that row back shows whether the transaction was carried
+// out, and a retry of it can take effect only once.
 func (a *Acceptor) decide(ctx context.Context, sub Submission, apply change) (Accepted, error) {
 	const op = "Acceptor.decide"
 	maySucceedLate := false
@@ -120,9 +121,9 @@
 		}
 		next, number, extra, refused := apply(head)
 		if refused != "" {
-			// Final also after a lost answer: the head moved on without the
-			// submission's row, and the earlier transaction demanded the old
-			// head, so it can never take effect.
+			// Final even after a lost response: the head has changed without the
+			// submission's row, and the earlier transaction is conditional on the
+			// old head, so it can no longer take effect.
 			return Accepted{}, redwinghall.NewOpError(op, refused, nil)
 		}
 		err = a.commit(ctx, sub, rows[1].Version, next, number, extra)
@@ -145,16 +146,16 @@
 		{Key: tablehttp.KeyHead, Expect: headVersion, Value: redwinghall.RowValue(next)},
 		{Key: tablehttp.KeySubmission(sub.SubmitID), Value: redwinghall.RowValue(record{Number: number})},
 	}
-	extra, err := a.withoutPresent(ctx, extra)
+	extra, err := a.omitExisting(ctx, extra)
 	if err != nil {
 		return err
 	}
 	return a.table.Commit(ctx, redwinghall.Txn{Writes: append(writes, extra...)})
 }
 
-// withoutPresent leaves out content rows that exist already: a row is named by
-// the hash of its content, so the same manifest submitted again needs no copy.
-func (a *Acceptor) withoutPresent(ctx context.Context, writes []redwinghall.Write) ([]redwinghall.Write, error) {
+// omitExisting removes the writes of content rows that exist already. Such a row is
+// keyed by the hash of its content, so the same manifest is stored only once.
+func (a *Acceptor) omitExisting(ctx context.Context, writes []redwinghall.Write) ([]redwinghall.Write, error) {
 	var out []redwinghall.Write
 	for _, w := range writes {
 		rows, err := a.table.Read(ctx, w.Key)
--- a/operator/acceptor_test.go
+++ b/operator/acceptor_test.go
@@ -36,7 +36,8 @@
 
 func code(err error) redwinghall.Code { return redwinghall.KindOf[redwinghall.Code](err) }
 
-// Two operators press the button at once and both believe that they won.
+// Two operators submit manifests that replace the same generation. Only one may
+// be accepted, and the other must be told that it lost the race.
 func TestRaceHasOneWinner(t *testing.T) {
 	tab := table.New()
 	a := acceptor(tab)
@@ -46,14 +47,14 @@
 	_, err = a.SubmitManifest(t.Context(), operator.Submission{SubmitID: "b"}, manifest("b"))
 	require.Equal(t, redwinghall.CodeManifestRace, code(err))
 	again, err := a.SubmitManifest(t.Context(), operator.Submission{SubmitID: "a"}, manifest("a"))
-	require.NoError(t, err, "the same submission is accepted once and says so again")
+	require.NoError(t, err, "a repeated submission is accepted once and returns the same result")
 	require.Equal(t, first.Number, again.Number)
 	require.Equal(t, uint64(1), head(t, tab).Generation)
 }
 
-// A pipeline reads that its manifest lost a race, although it is in force.
-// Order: the transaction takes effect; its answer is lost; the controller
-// submits again. Cause: it met its own write and took it for another's.
+// The transaction is carried out, its response is lost, and the controller submits
+// again. It must recognize its own write; otherwise it would report that the
+// manifest lost a race although it is in force.
 func TestLostAnswerIsNoRace(t *testing.T) {
 	tab := table.New()
 	tab.SetFaults(table.Faults{LoseAnswers: 1})
@@ -62,9 +63,9 @@
 	require.Equal(t, uint64(1), got.Number)
 }
 
-// A manifest is in force twice, or reverts, when a write is late.
-// Order: the transaction is delayed on the way; the controller tries the same
-// one again and succeeds; another manifest follows; the first one lands.
+// A transaction is delayed, the controller retries it successfully, and another
+// manifest is accepted before the delayed transaction arrives. It must not be
+// carried out, or the first manifest would be in force again.
 func TestLateSubmissionNeverReverts(t *testing.T) {
 	tab := table.New()
 	a := acceptor(tab)
@@ -98,9 +99,10 @@
 	require.Equal(t, redwinghall.AvailabilityZone{ID: "tartu", State: redwinghall.ZoneIn, Number: 2}, head(t, tab).Zones["tartu"])
 }
 
-// Over random losses and delays, submissions of several operators: each
-// accepted one has a generation of its own, the generation never falls, a
-// refusal as a race is true, and the last accepted manifest is in force.
+// Submissions of several operators under random lost responses and delayed writes:
+// each accepted one has its own generation, the generation never decreases, a
+// submission that was refused as a race is not in force, and the last accepted
+// manifest is in force.
 func TestGenerationsOverRandomFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tab := table.New()
--- a/operator/client.go
+++ b/operator/client.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	clientTimeout   = 15 * time.Second
-	maxClientAnswer = 64 << 20
+	clientTimeout    = 15 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
-// Client speaks to a controller's operators' interface.
+// Client is a client of a controller's operator API.
 type Client struct {
 	address string
 	token   string
 	client  *http.Client
 }
 
-// NewClient returns a client of the controller at host:port address.
+// NewClient returns a client of the controller at address, given as host:port.
 func NewClient(address, token string) *Client {
 	return &Client{address: address, token: token, client: &http.Client{Timeout: clientTimeout}}
 }
 
-// RefusedError is a refusal as the controller sent it.
+// RefusedError is an error response of the controller.
 type RefusedError struct {
 	Refusal
 }
 
-// Error returns the code and the sentence.
+// Error returns the code and the message.
 func (e *RefusedError) Error() string { return string(e.Code) + ": " + e.Message }
 
 // SubmitManifest submits a manifest's JSON.
@@ -45,14 +45,14 @@
 	return out, err
 }
 
-// SetZone takes a zone out of service or back.
+// SetZone takes a zone out of service or puts it back into service.
 func (c *Client) SetZone(ctx context.Context, sub Submission, zone string, state redwinghall.ZoneState) (Accepted, error) {
 	var out Accepted
 	err := c.do(ctx, http.MethodPut, "/v1/zones/"+zone, ZoneRequest{Submission: sub, State: state}, &out)
 	return out, err
 }
 
-// Status returns what the controller knows.
+// Status returns the status of the controller's zone and of the deployment.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var out Status
 	err := c.do(ctx, http.MethodGet, "/v1/status", nil, &out)
@@ -74,17 +74,17 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+c.token)
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := c.client.Do(request)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return redwinghall.NewOpError("Client.do", codeOfSendError(err), err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, maxClientAnswer))
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return redwinghall.NewOpError("Client.do", redwinghall.CodeResultUnknown, err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return refusalOf(answer.StatusCode, data)
+	if response.StatusCode != http.StatusOK {
+		return refusalOf(response.StatusCode, data)
 	}
 	if err := json.Unmarshal(data, out); err != nil {
 		return redwinghall.NewOpError("Client.do", redwinghall.CodeResultUnknown, err)
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// codeOfSendError tells a connection that could not be opened, so that nothing
-// was sent, from an answer that was lost.
+// codeOfSendError distinguishes a connection that could not be opened, so that
+// nothing was sent, from a lost response.
 func codeOfSendError(err error) redwinghall.Code {
 	if dial.Failed(err) {
 		return redwinghall.CodeControllerUnreachable
--- a/operator/server.go
+++ b/operator/server.go
@@ -13,7 +13,7 @@
 	"redwinghall/peer"
 )
 
-// Limits of the operators' listener.
+// Limits of the operator listener.
 const (
 	maxManifestBytes  = 8 << 20
 	readHeaderTimeout = 5 * time.Second
@@ -23,7 +23,7 @@
 	maxSubmitID       = 128
 )
 
-// Refusal is the body of every error that an operator receives.
+// Refusal is the body of every error response.
 type Refusal struct {
 	Code       redwinghall.Code     `json:"code"`
 	Message    string               `json:"message"`
@@ -32,19 +32,20 @@
 	Faults     redwinghall.Faults   `json:"faults,omitempty"`
 }
 
-// ManifestRequest submits a manifest.
+// ManifestRequest is the body of a request that submits a manifest.
 type ManifestRequest struct {
 	Submission
 	Manifest json.RawMessage `json:"manifest"`
 }
 
-// ZoneRequest takes a zone out of service or back.
+// ZoneRequest is the body of a request that takes a zone out of service or puts it
+// back into service.
 type ZoneRequest struct {
 	Submission
 	State redwinghall.ZoneState `json:"state"`
 }
 
-// Status is what a controller knows of its zone and of the deployment.
+// Status is the status of a controller's zone and of the deployment.
 type Status struct {
 	Controller       string                         `json:"controller"`
 	AvailabilityZone string                         `json:"availability_zone"`
@@ -54,48 +55,48 @@
 	Hash             string                         `json:"hash"`
 	Zones            []redwinghall.AvailabilityZone `json:"zones"`
 	Groups           []GroupStatus                  `json:"groups"`
-	// PlatformUnreachableSince is absent while the platform answers. While it
-	// is present the zone goes on with what it has.
+	// PlatformUnreachableSince is absent while the platform responds. While it is
+	// present, the zone continues to serve with its last known state.
 	PlatformUnreachableSince *time.Time `json:"platform_unreachable_since,omitempty"`
 }
 
-// GroupStatus is one group and whether it can serve.
+// GroupStatus is a group and whether it can serve.
 type GroupStatus struct {
 	redwinghall.Group
 	Whole bool `json:"whole"`
 }
 
-// Backend is what the operators' interface needs from a controller.
+// Backend is the part of a controller that the operator API uses.
 type Backend interface {
 	Status(now time.Time) Status
 	Manifest() (redwinghall.Accepted, bool)
-	// Refresh makes a decision known here at once.
+	// Refresh loads the latest accepted changes immediately.
 	Refresh()
 }
 
-// Server answers operators.
+// Server implements the operator API over HTTP.
 type Server struct {
 	acceptor *Acceptor
 	backend  Backend
 	token    string
 }
 
-// NewServer returns a server that asks for token.
+// NewServer returns a server that requires token in each request.
 func NewServer(acceptor *Acceptor, backend Backend, token string) *Server {
 	return &Server{acceptor: acceptor, backend: backend, token: token}
 }
 
-// Handler returns the operators' routes.
+// Handler returns the handler of the operator API.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /v1/manifest", s.putManifest)
 	mux.HandleFunc("GET /v1/manifest", s.getManifest)
 	mux.HandleFunc("PUT /v1/zones/{zone}", s.putZone)
 	mux.HandleFunc("GET /v1/status", s.getStatus)
-	return s.guarded(mux)
+	return s.requireToken(mux)
 }
 
-// HTTPServer returns the operators' listener.
+// HTTPServer returns the HTTP server of the operator API.
 func (s *Server) HTTPServer(address string) *http.Server {
 	return &http.Server{
 		Addr: address, Handler: s.Handler(),
@@ -104,10 +105,10 @@
 	}
 }
 
-func (s *Server) guarded(next http.Handler) http.Handler {
+func (s *Server) requireToken(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !peer.SameToken(peer.BearerToken(r), s.token) {
-			refuse(w, redwinghall.CodeOperatorForbidden, nil)
+			writeRefusal(w, redwinghall.CodeOperatorForbidden, nil)
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -122,11 +123,11 @@
 	manifest, faults := redwinghall.ParseManifest(in.Manifest)
 	faults = append(faults, validateSubmitID(in.SubmitID)...)
 	if len(faults) > 0 {
-		refuse(w, redwinghall.CodeManifestInvalid, faults)
+		writeRefusal(w, redwinghall.CodeManifestInvalid, faults)
 		return
 	}
 	accepted, err := s.acceptor.SubmitManifest(r.Context(), in.Submission, manifest)
-	s.answer(w, "manifest_submitted", in.SubmitID, accepted, err)
+	s.writeResult(w, "manifest_submitted", in.SubmitID, accepted, err)
 }
 
 func (s *Server) putZone(w http.ResponseWriter, r *http.Request) {
@@ -138,18 +139,18 @@
 	faults := redwinghall.AvailabilityZone{ID: zone, State: in.State}.Validate()
 	faults = append(faults, validateSubmitID(in.SubmitID)...)
 	if len(faults) > 0 {
-		refuse(w, redwinghall.CodeBadRequest, faults)
+		writeRefusal(w, redwinghall.CodeBadRequest, faults)
 		return
 	}
 	if !s.zoneKnown(zone) {
-		refuse(w, redwinghall.CodeZoneUnknown, nil)
+		writeRefusal(w, redwinghall.CodeZoneUnknown, nil)
 		return
 	}
 	accepted, err := s.acceptor.SetZone(r.Context(), in.Submission, zone, in.State)
-	s.answer(w, "zone_decided", in.SubmitID, accepted, err)
+	s.writeResult(w, "zone_decided", in.SubmitID, accepted, err)
 }
 
-// zoneKnown reports whether the manifest in force places something in a zone.
+// zoneKnown reports whether the manifest in force places a model in a zone.
 func (s *Server) zoneKnown(zone string) bool {
 	accepted, _ := s.backend.Manifest()
 	for _, m := range accepted.Manifest.Models {
@@ -168,11 +169,11 @@
 	return f
 }
 
-func (s *Server) answer(w http.ResponseWriter, event, submitID string, accepted Accepted, err error) {
+func (s *Server) writeResult(w http.ResponseWriter, event, submitID string, accepted Accepted, err error) {
 	if err != nil {
 		code := redwinghall.KindOf[redwinghall.Code](err)
 		klog.InfoS(event, "submit_id", submitID, "code", code, "cause", err.Error())
-		refuse(w, code, nil)
+		writeRefusal(w, code, nil)
 		return
 	}
 	klog.InfoS(event, "submit_id", submitID, "code", accepted.Code, "number", accepted.Number)
@@ -183,7 +184,7 @@
 func (s *Server) getManifest(w http.ResponseWriter, _ *http.Request) {
 	accepted, ok := s.backend.Manifest()
 	if !ok {
-		refuse(w, redwinghall.CodeNoManifest, nil)
+		writeRefusal(w, redwinghall.CodeNoManifest, nil)
 		return
 	}
 	writeJSON(w, http.StatusOK, accepted)
@@ -197,20 +198,20 @@
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxManifestBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		refuse(w, redwinghall.CodeTooLarge, nil)
+		writeRefusal(w, redwinghall.CodeTooLarge, nil)
 		return false
 	}
 	if err == nil {
 		err = json.Unmarshal(data, out)
 	}
 	if err != nil {
-		refuse(w, redwinghall.CodeBadRequest, redwinghall.Faults{{Path: "$", Message: "this is not valid JSON: " + err.Error()}})
+		writeRefusal(w, redwinghall.CodeBadRequest, redwinghall.Faults{{Path: "$", Message: "this is not valid JSON: " + err.Error()}})
 		return false
 	}
 	return true
 }
 
-func refuse(w http.ResponseWriter, code redwinghall.Code, faults redwinghall.Faults) {
+func writeRefusal(w http.ResponseWriter, code redwinghall.Code, faults redwinghall.Faults) {
 	info, ok := code.Info()
 	if !ok {
 		info, _ = redwinghall.CodeResultUnknown.Info()
@@ -227,10 +228,10 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
-		http.Error(w, "the answer could not be written", http.StatusInternalServerError)
+		http.Error(w, "the answer could not be encoded", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(append(data, '\n')) // the operator may be gone
+	_, _ = w.Write(append(data, '\n')) // the client may have disconnected
 }
