--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -246,7 +246,7 @@
 }
 
 // recordOne writes the outcome to its row, unless nothing is left to write, and
-// reports whether the outcome is done with.
+// reports whether no further attempt is needed.
 func (k *Keeper) recordOne(ctx context.Context, row redwinghall.Row, outcome redwinghall.Claim) bool {
 	var found redwinghall.Claim
 	if row.Version != 0 {
--- a/endpoint/lease.go
+++ b/endpoint/lease.go
@@ -45,7 +45,7 @@
 }
 
 // Release releases the lease when this controller stops, so that the zone is not
-// without a holder until the lease expires. Tick must not be called afterwards.
+// without a holder until the lease expires. Tick must no longer be running.
 func (m *Manager) Release(ctx context.Context) {
 	if !m.lease.Holds(time.Now()) {
 		return
--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -134,7 +134,7 @@
 }
 
 // isWhole reports whether any router has recently observed the group as whole,
-// that is with all members alive in the current generation.
+// that is with all members alive and ready in the current generation.
 func (m *Manager) isWhole(g redwinghall.Group, now time.Time) bool {
 	h, ok := m.node.Health.Get(g.ID)
 	return ok && h.Whole(g, now, m.config.LostAfter)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -65,7 +65,8 @@
 type Config struct {
 	Self     string
 	Duration time.Duration
-	// Margin is how long before a watcher may take over the holder stops.
+	// Margin is the time between the end of the holder's lease and the earliest
+	// moment when a watcher may take over.
 	Margin time.Duration
 	// SingleInstance says that at most one process named Self runs at a time, so that a
 	// record of Self that this process does not hold was left by a process that ended.
