--- a/members/recovery.go
+++ b/members/recovery.go
@@ -55,11 +55,11 @@
 		t.recoveredEra.Store(t.listedEra)
 	}
 	for _, state := range t.leases {
-		if state.Settled() == t.listedEra {
+		if state.RecoveredEra() == t.listedEra {
 			t.recoveredEra.Store(t.listedEra)
 		}
 	}
 	for zone, state := range t.leases {
-		t.leases[zone] = state.WithSettled(t.recoveredEra.Load())
+		t.leases[zone] = state.WithRecoveredEra(t.recoveredEra.Load())
 	}
 }
