--- a/measure/place.go
+++ b/measure/place.go
@@ -15,7 +15,7 @@
 type firstFit struct{}
 
 // Place implements place.Placer.
-func (firstFit) Place(free redwinghall.VMs, wants []place.Want) []place.Placement {
+func (firstFit) Place(free redwinghall.VMs, wants []place.Demand) []place.Placement {
 	domains := map[string]redwinghall.VMs{}
 	var names []string
 	for _, vm := range free {
@@ -55,11 +55,11 @@
 }
 
 // wantsOf asks for groups of 4, 3 and 2 VMs that would fill the cluster.
-func wantsOf(vms int) []place.Want {
+func wantsOf(vms int) []place.Demand {
 	model := func(id string, size int) redwinghall.Model {
 		return redwinghall.Model{ID: id, VMsPerReplica: size, AcceleratorsPerVM: 8}
 	}
-	return []place.Want{
+	return []place.Demand{
 		{Model: model("two", 2), Count: vms / 8},
 		{Model: model("three", 3), Count: vms / 12},
 		{Model: model("four", 4), Count: vms / 8},
@@ -71,9 +71,9 @@
 	for _, n := range []int{80, 325, 650, 1300} {
 		vms := cluster(rand.New(rand.NewPCG(1, uint64(n))), n)
 		wants := wantsOf(n)
-		whole = append(whole, Point{float64(n), fastest(func() { place.Packed{}.Place(vms, wants) })})
-		single := []place.Want{{Model: wants[2].Model, Count: 1}}
-		one = append(one, Point{float64(n), fastest(func() { place.Packed{}.Place(vms, single) })})
+		whole = append(whole, Point{float64(n), fastest(func() { place.BestFit{}.Place(vms, wants) })})
+		single := []place.Demand{{Model: wants[2].Model, Count: 1}}
+		one = append(one, Point{float64(n), fastest(func() { place.BestFit{}.Place(vms, single) })})
 	}
 	out := []Series{
 		newSeries("all groups from nothing", "VMs", "milliseconds to place", whole),
@@ -82,7 +82,7 @@
 	for _, p := range []struct {
 		name   string
 		placer place.Placer
-	}{{"packed", place.Packed{}}, {"first fit", firstFit{}}} {
+	}{{"packed", place.BestFit{}}, {"first fit", firstFit{}}} {
 		stranded, missing := strandedBySize(p.placer)
 		out = append(out, newSeries(p.name, "VMs", "stranded VMs after seeded losses", stranded),
 			newSeries(p.name, "VMs", "groups that could not be formed", missing))
