--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,5 +1,5 @@
-// Command controller keeps an availability zone's groups formed and takes the
-// operators' decisions.
+// Command controller forms and maintains the groups of an availability zone and
+// accepts operators' manifests and zone decisions.
 package main
 
 import (
@@ -9,8 +9,8 @@
 	"redwinghall/daemon"
 )
 
-const help = `Takes operators' manifests and decisions, and keeps the groups of its
-availability zone formed while it holds the zone's lease.
+const help = `Accepts operators' manifests and decisions, and forms and maintains the groups
+of its availability zone while it holds the zone's lease.
 
 Examples:
   controller --settings controller.json
