--- a/cmd/node/cgo.go
+++ b/cmd/node/cgo.go
@@ -1,3 +1,3 @@
 package main
 
-import "C" // links the program to the system's C library, as the platform asks
+import "C" // links the program to the system's C library, which the platform requires
--- a/cmd/node/main.go
+++ b/cmd/node/main.go
@@ -1,4 +1,5 @@
-// Command node is the one process of an entry VM on the users' platform.
+// Command node is the only process of this project that runs on an entry VM of
+// the users' platform.
 package main
 
 import (
@@ -11,8 +12,9 @@
 )
 
 const help = `Serves callers on one entry VM of the users' platform, and forms the groups of
-its availability zone while it holds the zone's lease. The settings file is the
-platform's; its path is --settings, or stands in the variable ` + platform.SettingsVariable + `.
+its availability zone while it holds the zone's lease. The settings file
+is the platform's; set its path with --settings or in the environment
+variable ` + platform.SettingsVariable + `.
 
 Examples:
   node
--- a/cmd/node/main_test.go
+++ b/cmd/node/main_test.go
@@ -13,7 +13,8 @@
 	"redwinghall/platform/platformtest"
 )
 
-// run builds nothing twice: the program is built once for all cases.
+// run runs the program and returns its output and exit code. The test builds the
+// program once for all cases.
 func run(t *testing.T, program string, env []string, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(program, args...)
@@ -46,14 +47,14 @@
 		code int
 		want []string
 	}{
-		"good":            {nil, []string{"--check", "--settings", good}, 0, []string{"valid"}},
-		"by the variable": {[]string{platform.SettingsVariable + "=" + good}, []string{"--check"}, 0, []string{"valid"}},
-		"every fault":     {nil, []string{"--check", "--settings", bad}, 2, []string{"internal_ports", "bounds.drain_ms", "zone", "store_address"}},
-		"no file":         {nil, []string{"--check", "--settings", bad + ".none"}, 2, []string{"no such file"}},
-		"no settings":     {nil, nil, 2, []string{"--settings is missing"}},
-		"unknown flag":    {nil, []string{"--chekc"}, 2, []string{"chekc"}},
-		"help":            {nil, []string{"--help"}, 0, []string{platform.SettingsVariable, "Exit codes"}},
-		"version":         {nil, []string{"--version"}, 0, []string{"node"}},
+		"good":                    {nil, []string{"--check", "--settings", good}, 0, []string{"valid"}},
+		"path in the environment": {[]string{platform.SettingsVariable + "=" + good}, []string{"--check"}, 0, []string{"valid"}},
+		"all faults reported":     {nil, []string{"--check", "--settings", bad}, 2, []string{"internal_ports", "bounds.drain_ms", "zone", "store_address"}},
+		"no file":                 {nil, []string{"--check", "--settings", bad + ".none"}, 2, []string{"no such file"}},
+		"no settings":             {nil, nil, 2, []string{"--settings is missing"}},
+		"unknown flag":            {nil, []string{"--chekc"}, 2, []string{"chekc"}},
+		"help":                    {nil, []string{"--help"}, 0, []string{platform.SettingsVariable, "Exit codes"}},
+		"version":                 {nil, []string{"--version"}, 0, []string{"node"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, code := run(t, program, c.env, c.args...)
