--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -1,4 +1,4 @@
-// Command router takes callers' requests and routes them to endpoints.
+// Command router accepts callers' requests and routes them to endpoints.
 package main
 
 import (
@@ -8,8 +8,8 @@
 	"redwinghall/daemon"
 )
 
-const help = `Takes callers' requests on one entry VM, routes them to the endpoints of its
-availability zone, and answers for their outcome.
+const help = `Accepts callers' requests on one entry VM, routes them to the endpoints of its
+availability zone, and returns the outcome of each.
 
 Examples:
   router --settings router.json
