--- a/cmd/rwhctl/check.go
+++ b/cmd/rwhctl/check.go
@@ -19,7 +19,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// checkResult is what check prints for a valid manifest.
+// checkResult is the output of check for a valid manifest.
 type checkResult struct {
 	Valid bool   `json:"valid"`
 	Hash  string `json:"hash"`
--- a/cmd/rwhctl/client.go
+++ b/cmd/rwhctl/client.go
@@ -16,7 +16,7 @@
 
 const tokenVariable = "RWH_OPERATOR_TOKEN"
 
-// client returns a client of the chosen controller.
+// client returns a client for the controller given by --controller.
 func (a *app) client() (*operator.Client, error) {
 	if a.options.Controller == "" {
 		return nil, &flags.Error{Type: flags.ErrRequired, Message: "--controller is missing"}
@@ -39,7 +39,7 @@
 	return encoder.Encode(v)
 }
 
-// fail prints a refusal as JSON with what to do next.
+// fail prints a refusal as JSON, including the next step for the operator.
 func (a *app) fail(err error) error {
 	var refused *operator.RefusedError
 	if !errors.As(err, &refused) {
@@ -50,7 +50,8 @@
 	return errors.Join(errRefused, encoder.Encode(refused.Refusal))
 }
 
-// localRefusal describes an error that arose before a controller answered.
+// localRefusal builds a refusal from an error that came without a controller's
+// refusal.
 func localRefusal(err error) operator.Refusal {
 	code := redwinghall.KindOf[redwinghall.Code](err)
 	info, ok := code.Info()
@@ -64,8 +65,9 @@
 	}
 }
 
-// submission fills in a submit id, which it prints first, so that a command
-// whose answer is lost can be repeated safely.
+// submission generates a submit ID if none was given and prints it before the
+// request is sent, so that a command whose response is lost can be retried with
+// the same ID.
 func (a *app) submission(id string, replaces uint64) operator.Submission {
 	if id == "" {
 		id = rand.Text()
--- a/cmd/rwhctl/main.go
+++ b/cmd/rwhctl/main.go
@@ -1,5 +1,5 @@
-// Command rwhctl is how build pipelines and operators submit manifests, take
-// availability zones out of service and back, and read the state.
+// Command rwhctl lets build pipelines and operators submit manifests, take
+// availability zones out of service or back, and read the state.
 package main
 
 import (
@@ -25,21 +25,22 @@
 
 Exit codes: 0 done, 1 refused or failed, 2 wrong usage.`
 
-// options hold for every subcommand that asks a controller.
+// options are the global options; those for the connection apply to every
+// subcommand that sends requests to a controller.
 type options struct {
 	Controller string `long:"controller" env:"RWH_CONTROLLER" description:"IP:PORT of a controller's operator listener" value-name:"ADDRESS"`
 	TokenFile  string `long:"token-file" description:"file that holds the operator token (default: the variable RWH_OPERATOR_TOKEN)" value-name:"FILE"`
 	Version    func() `long:"version" description:"print the version and stop"`
 }
 
-// app is what subcommands work with.
+// app holds the options and output streams that all subcommands share.
 type app struct {
 	options *options
 	out     io.Writer
 	err     io.Writer
 }
 
-// errRefused ends a subcommand whose refusal was printed already.
+// errRefused is returned by a subcommand that has already printed its refusal.
 var errRefused = errors.New("refused")
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
