--- a/caller/once_test.go
+++ b/caller/once_test.go
@@ -43,7 +43,7 @@
 	g := kernel.NewGroup(t.Context())
 	for i := range retries {
 		g.Go("book", func(context.Context) error {
-			r, err := d.Book(i%2, "deposit-1")
+			r, err := d.PostDeposit(i%2, "deposit-1")
 			replies <- r
 			return err
 		})
@@ -58,7 +58,7 @@
 	}
 	require.Equal(t, 1, d.Runs("deposit-1"))
 	require.Eventually(t, func() bool {
-		r, err := d.Book(1, "deposit-1")
+		r, err := d.PostDeposit(1, "deposit-1")
 		return err == nil && r.Status == http.StatusOK && r.Header.Get(caller.HeaderReplayed) == "true"
 	}, time.Minute, 5*time.Millisecond)
 	require.Equal(t, 1, d.Runs("deposit-1"))
@@ -73,12 +73,12 @@
 	for _, s := range d.Services {
 		s.SetFaults(service.Faults{CutAfterRun: 1})
 	}
-	r, err := d.Book(0, "credit-1")
+	r, err := d.PostDeposit(0, "credit-1")
 	require.NoError(t, err)
 	require.Equal(t, redwinghall.CodeOutcomeUnknown, codeOf(t, r))
 	for i := range 2 {
 		require.Eventually(t, func() bool {
-			r, err := d.Book(i, "credit-1")
+			r, err := d.PostDeposit(i, "credit-1")
 			return err == nil && codeOf(t, r) == redwinghall.CodeOutcomeUnknown
 		}, time.Minute, 5*time.Millisecond)
 	}
@@ -106,7 +106,7 @@
 		return len(endpoints) == 1 && endpoints[0].Address == address
 	}, time.Minute, 5*time.Millisecond)
 	for _, key := range []string{"a", "b", "c", "d"} {
-		_, err := d.Book(0, key)
+		_, err := d.PostDeposit(0, key)
 		require.NoError(t, err)
 	}
 	counted := map[string]int{}
@@ -186,7 +186,7 @@
 	var r rwhtest.Reply
 	d.Eventually("the key is settled", func() bool {
 		var err error
-		r, err = d.Book(1, "gone-1")
+		r, err = d.PostDeposit(1, "gone-1")
 		return err == nil && (r.Status == http.StatusOK || codeOf(t, r) != redwinghall.CodeInProgress)
 	})
 	require.Equal(t, http.StatusOK, r.Status, r.Body)
@@ -248,7 +248,7 @@
 func TestTableOutageRefusesNotRun(t *testing.T) {
 	d := twoZones(t)
 	d.Table.SetFaults(table.Faults{Down: true})
-	r, err := d.Book(0, "storm-1")
+	r, err := d.PostDeposit(0, "storm-1")
 	require.NoError(t, err)
 	require.Equal(t, redwinghall.CodeClaimsUnavailable, codeOf(t, r))
 	require.NotEmpty(t, r.Header.Get("Retry-After"))
@@ -259,7 +259,7 @@
 
 	d.Table.SetFaults(table.Faults{})
 	d.Eventually("the deposit runs", func() bool {
-		r, err := d.Book(1, "storm-1")
+		r, err := d.PostDeposit(1, "storm-1")
 		return err == nil && r.Status == http.StatusOK
 	})
 	require.Equal(t, 1, d.Runs("storm-1"))
--- a/endpoint/manager_test.go
+++ b/endpoint/manager_test.go
@@ -228,7 +228,7 @@
 		return len(all) == 1
 	})
 	d.Eventually("the service endpoint takes no more work", func() bool {
-		r, err := d.Book(0, "late")
+		r, err := d.PostDeposit(0, "late")
 		return err == nil && r.Status == http.StatusServiceUnavailable
 	})
 	require.Zero(t, d.Runs("late"))
--- a/rwhtest/call.go
+++ b/rwhtest/call.go
@@ -37,8 +37,8 @@
 	return Reply{Status: response.StatusCode, Header: response.Header, Body: string(data)}, err
 }
 
-// Book sends a deposit under an idempotency key through router i.
-func (d *Deployment) Book(i int, key string) (Reply, error) {
+// PostDeposit sends a deposit under an idempotency key through router i.
+func (d *Deployment) PostDeposit(i int, key string) (Reply, error) {
 	d.t.Helper()
 	return d.Call(d.t.Context(), http.MethodPost, d.Caller(i), "/v1/services/"+Service+"/deposits",
 		`{"amount":50}`, map[string]string{"Idempotency-Key": key})
