--- a/caller/bench_test.go
+++ b/caller/bench_test.go
@@ -36,7 +36,7 @@
 	}
 	d.Load(200, 4, 4, 0)
 	for _, tokens := range []int{1, 257} {
-		for _, way := range []struct{ name, address string }{{"direct", leader}, {"router", d.Caller(0)}} {
+		for _, way := range []struct{ name, address string }{{"direct", leader}, {"router", d.CallerAddress(0)}} {
 			b.Run(fmt.Sprintf("chunks=%d/%s", tokens, way.name), func(b *testing.B) {
 				answer(b, d.Client, way.address, tokens)
 			})
--- a/caller/once_test.go
+++ b/caller/once_test.go
@@ -173,7 +173,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	g := kernel.NewGroup(t.Context())
 	g.Go("caller", func(context.Context) error {
-		_, err := d.Call(ctx, http.MethodPost, d.Caller(0), "/v1/services/"+rwhtest.Service+"/deposits",
+		_, err := d.Call(ctx, http.MethodPost, d.CallerAddress(0), "/v1/services/"+rwhtest.Service+"/deposits",
 			`{"amount":50}`, map[string]string{caller.HeaderIdempotency: "gone-1"})
 		if err == nil {
 			t.Error("the caller was to be gone before the answer")
@@ -211,7 +211,7 @@
 		g.Go("book", func(ctx context.Context) error {
 			key := "race-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
 			timeout := time.Duration(i) * 100 * time.Microsecond
-			r, err := d.Call(ctx, http.MethodPost, d.Caller(i%2), "/v1/services/"+rwhtest.Service+"/deposits", `{}`,
+			r, err := d.Call(ctx, http.MethodPost, d.CallerAddress(i%2), "/v1/services/"+rwhtest.Service+"/deposits", `{}`,
 				map[string]string{caller.HeaderIdempotency: key, caller.HeaderTimeout: (timeout + time.Microsecond).String()})
 			if err != nil {
 				return err
@@ -285,7 +285,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r, err := d.Call(t.Context(), http.MethodPost, d.Caller(0), tt.path, tt.body, tt.header)
+			r, err := d.Call(t.Context(), http.MethodPost, d.CallerAddress(0), tt.path, tt.body, tt.header)
 			require.NoError(t, err)
 			require.Equal(t, tt.want, codeOf(t, r))
 			info, _ := tt.want.Info()
--- a/caller/stream_test.go
+++ b/caller/stream_test.go
@@ -104,7 +104,7 @@
 	g := kernel.NewGroup(t.Context())
 	for i := range 50 {
 		g.Go("ask", func(ctx context.Context) error {
-			r, err := d.Call(ctx, http.MethodPost, d.Caller(i%2), "/v1/chat/completions", body, nil)
+			r, err := d.Call(ctx, http.MethodPost, d.CallerAddress(i%2), "/v1/chat/completions", body, nil)
 			replies <- r
 			return err
 		})
@@ -124,7 +124,7 @@
 func TestWholeAnswerEqualsStream(t *testing.T) {
 	d := streaming(t, 20*time.Second)
 	body := `{"model":"` + rwhtest.Model + `","max_tokens":5,"messages":[{"role":"user","content":"x"}]}`
-	r, err := d.Call(t.Context(), http.MethodPost, d.Caller(0), "/v1/chat/completions", body, nil)
+	r, err := d.Call(t.Context(), http.MethodPost, d.CallerAddress(0), "/v1/chat/completions", body, nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, r.Status)
 	request := engine.ChatRequest{Model: rwhtest.Model, MaxTokens: 5, Messages: []json.RawMessage{[]byte(`{"role":"user","content":"x"}`)}}
@@ -146,7 +146,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r, err := d.Call(t.Context(), http.MethodPost, d.Caller(0), "/v1/chat/completions", tt.body, nil)
+			r, err := d.Call(t.Context(), http.MethodPost, d.CallerAddress(0), "/v1/chat/completions", tt.body, nil)
 			require.NoError(t, err)
 			require.Equal(t, tt.want, codeOf(t, r))
 		})
@@ -158,7 +158,7 @@
 	d.Submit("v1")
 	body := `{"model":"chain-advice","stream":true,"max_tokens":4,"messages":[1]}`
 	ask := func(last string) rwhtest.Reply {
-		r, err := d.Call(t.Context(), http.MethodPost, d.Caller(0), "/v1/chat/completions", body, map[string]string{caller.HeaderLastEvent: last})
+		r, err := d.Call(t.Context(), http.MethodPost, d.CallerAddress(0), "/v1/chat/completions", body, map[string]string{caller.HeaderLastEvent: last})
 		require.NoError(t, err)
 		return r
 	}
--- a/rwhtest/call.go
+++ b/rwhtest/call.go
@@ -40,7 +40,7 @@
 // PostDeposit sends a deposit under an idempotency key through router i.
 func (d *Deployment) PostDeposit(i int, key string) (Reply, error) {
 	d.t.Helper()
-	return d.Call(d.t.Context(), http.MethodPost, d.Caller(i), "/v1/services/"+Service+"/deposits",
+	return d.Call(d.t.Context(), http.MethodPost, d.CallerAddress(i), "/v1/services/"+Service+"/deposits",
 		`{"amount":50}`, map[string]string{"Idempotency-Key": key})
 }
 
@@ -58,7 +58,7 @@
 func (d *Deployment) Load(requests, workers, tokens int, routers ...int) load.Result {
 	c := load.Config{Key: Key, Model: Model, Requests: requests, Workers: workers, Tokens: tokens, Timeout: waitLimit, Seed: 7}
 	for _, i := range routers {
-		c.Routers = append(c.Routers, d.Caller(i))
+		c.Routers = append(c.Routers, d.CallerAddress(i))
 	}
 	return load.Run(d.t.Context(), c)
 }
--- a/rwhtest/deployment.go
+++ b/rwhtest/deployment.go
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Caller returns where router i takes callers' requests.
-func (d *Deployment) Caller(i int) string { return d.callers[i] }
+// CallerAddress returns where router i takes callers' requests.
+func (d *Deployment) CallerAddress(i int) string { return d.callers[i] }
 
 // Operator returns a client of controller i.
 func (d *Deployment) Operator(i int) *operator.Client {
--- a/rwhtest/session_test.go
+++ b/rwhtest/session_test.go
@@ -39,13 +39,13 @@
 	d, s := start(t)
 	body := `{"model":"chain-advice","stream":true,"max_tokens":4,"messages":[{"role":"user","content":"which chain fits 205/55 R16?"}]}`
 	s.Note("a driver asks and reads the answer as a stream")
-	call(t, d, s, "driver", d.Caller(0), http.MethodPost, "/v1/chat/completions", body, map[string]string{"X-Request-Id": "ask-1"})
+	call(t, d, s, "driver", d.CallerAddress(0), http.MethodPost, "/v1/chat/completions", body, map[string]string{"X-Request-Id": "ask-1"})
 	s.Note("the same question as a whole answer")
 	body = strings.Replace(body, `"stream":true,`, "", 1)
-	call(t, d, s, "driver", d.Caller(0), http.MethodPost, "/v1/chat/completions", body, map[string]string{"X-Request-Id": "ask-2"})
+	call(t, d, s, "driver", d.CallerAddress(0), http.MethodPost, "/v1/chat/completions", body, map[string]string{"X-Request-Id": "ask-2"})
 	s.Note("a model that the manifest does not have")
 	body = strings.Replace(body, "chain-advice", "tyre-advice", 1)
-	call(t, d, s, "driver", d.Caller(0), http.MethodPost, "/v1/chat/completions", body, map[string]string{"X-Request-Id": "ask-3"})
+	call(t, d, s, "driver", d.CallerAddress(0), http.MethodPost, "/v1/chat/completions", body, map[string]string{"X-Request-Id": "ask-3"})
 	s.Endpoints()
 	golden(t, s)
 }
@@ -54,7 +54,7 @@
 	d, s := start(t)
 	path := "/v1/services/" + rwhtest.Service + "/deposits"
 	book := func(router int, id, key, body string) rwhtest.Reply {
-		return call(t, d, s, "haulier", d.Caller(router), http.MethodPost, path, body,
+		return call(t, d, s, "haulier", d.CallerAddress(router), http.MethodPost, path, body,
 			map[string]string{"Idempotency-Key": key, "X-Request-Id": id})
 	}
 	settled := func(i int) {
@@ -67,7 +67,7 @@
 	s.Note("the same key with another amount")
 	book(1, "book-3", "deposit-1", `{"amount":60}`)
 	s.Note("no key")
-	call(t, d, s, "haulier", d.Caller(0), http.MethodPost, path, `{"amount":50}`, map[string]string{"X-Request-Id": "book-4"})
+	call(t, d, s, "haulier", d.CallerAddress(0), http.MethodPost, path, `{"amount":50}`, map[string]string{"X-Request-Id": "book-4"})
 	s.Note("the service runs the call and its answer is lost; then a retry")
 	d.Services["tartu"].SetFaults(service.Faults{CutAfterRun: 1})
 	book(0, "book-5", "deposit-2", `{"amount":50}`)
