--- a/daemon/stop_test.go
+++ b/daemon/stop_test.go
@@ -24,7 +24,7 @@
 // requests without regard to the end of its drain, though it knows that end.
 func TestDrainingRouterTakesNothingThatItCannotFinish(t *testing.T) {
 	var platform string
-	d := rwhtest.Start(t, rwhtest.Options{PlatformVia: func(address string) string {
+	d := rwhtest.Start(t, rwhtest.Options{PlatformProxy: func(address string) string {
 		platform = address
 		return address
 	}})
--- a/rwhtest/options.go
+++ b/rwhtest/options.go
@@ -22,8 +22,8 @@
 	ServiceTimeout time.Duration
 	StallTimeout   time.Duration
 	MaxInFlight    int
-	// PlatformVia, when set, stands between every process and the platform.
-	PlatformVia func(platformAddress string) string
+	// PlatformProxy, when set, stands between every process and the platform.
+	PlatformProxy func(platformAddress string) string
 }
 
 func (o Options) withDefaults() Options {
--- a/rwhtest/start.go
+++ b/rwhtest/start.go
@@ -95,8 +95,8 @@
 
 func (d *Deployment) startDaemons(host string) {
 	platformAddress := fmt.Sprintf("%s:%d", host, portPlatform)
-	if d.options.PlatformVia != nil {
-		platformAddress = d.options.PlatformVia(platformAddress)
+	if d.options.PlatformProxy != nil {
+		platformAddress = d.options.PlatformProxy(platformAddress)
 	}
 	address := func(port, i int) string { return fmt.Sprintf("%s:%d", host, port+i) }
 	var peers []peer.Member
