--- a/rwhtest/session.go
+++ b/rwhtest/session.go
@@ -100,8 +100,8 @@
 
 var hashPattern = regexp.MustCompile(`[0-9a-f]{64}`)
 
-// Bytes returns the session with hashes replaced by names.
-func (s *Session) Bytes() []byte {
+// Golden returns the session with hashes replaced by names.
+func (s *Session) Golden() []byte {
 	names := map[string]string{}
 	return hashPattern.ReplaceAllFunc([]byte(s.out.String()), func(hash []byte) []byte {
 		name, ok := names[string(hash)]
--- a/rwhtest/session_test.go
+++ b/rwhtest/session_test.go
@@ -24,7 +24,7 @@
 
 func golden(t *testing.T, s *rwhtest.Session) {
 	t.Helper()
-	goldie.New(t, goldie.WithFixtureDir("testdata"), goldie.WithNameSuffix(".txt")).Assert(t, t.Name(), s.Bytes())
+	goldie.New(t, goldie.WithFixtureDir("testdata"), goldie.WithNameSuffix(".txt")).Assert(t, t.Name(), s.Golden())
 }
 
 func call(t *testing.T, d *rwhtest.Deployment, s *rwhtest.Session, who, address, method, path, body string, header map[string]string) rwhtest.Reply {
