--- a/rwhtest/call.go
+++ b/rwhtest/call.go
@@ -11,14 +11,14 @@
 	"redwinghall/standin/load"
 )
 
-// Reply is an HTTP answer that was read whole.
+// Reply is an HTTP response with its complete body.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   string
 }
 
-// Call sends a request as the test's client account and reads the answer.
+// Call sends a request as the test's client account and reads the response.
 func (d *Deployment) Call(ctx context.Context, method, address, path, body string, header map[string]string) (Reply, error) {
 	d.t.Helper()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader([]byte(body)))
@@ -44,7 +44,8 @@
 		`{"amount":50}`, map[string]string{"Idempotency-Key": key})
 }
 
-// Runs returns how often a key ran, over all zones.
+// Runs returns how often the call with an idempotency key was executed, over
+// all zones.
 func (d *Deployment) Runs(key string) int {
 	n := 0
 	for _, s := range d.Services {
@@ -54,7 +55,7 @@
 }
 
 // Load sends streamed requests through the given routers and checks every
-// answer against the one that the engine must give.
+// response against the one that the engine must send.
 func (d *Deployment) Load(requests, workers, tokens int, routers ...int) load.Result {
 	c := load.Config{Key: Key, Model: Model, Requests: requests, Workers: workers, Tokens: tokens, Timeout: waitLimit, Seed: 7}
 	for _, i := range routers {
--- a/rwhtest/deployment.go
+++ b/rwhtest/deployment.go
@@ -1,6 +1,6 @@
-// Package rwhtest runs small whole deployments inside one test: stand-ins for
-// the platform, engines and services, and real routers and controllers that
-// speak over loopback TCP.
+// Package rwhtest runs small but complete deployments inside one test process:
+// stand-ins for the platform, engines and services, and real routers and
+// controllers that communicate over loopback TCP.
 package rwhtest
 
 import (
@@ -22,20 +22,20 @@
 	"redwinghall/standin/table"
 )
 
-// Names that every deployment uses.
+// Names and credentials that every deployment uses.
 const (
-	Model         = "chain-advice"
-	Service       = "rental-desk"
-	Account       = "hauliers"
-	Key           = "test-key-hauliers"
-	OperatorToken = "test-operator-token"
-	peerToken     = "test-peer-token-00"
-	tokenVariable = "RWH_TEST_PEER_TOKEN"
-	operVariable  = "RWH_TEST_OPERATOR_TOKEN"
+	Model                 = "chain-advice"
+	Service               = "rental-desk"
+	Account               = "hauliers"
+	Key                   = "test-key-hauliers"
+	OperatorToken         = "test-operator-token"
+	peerToken             = "test-peer-token-00"
+	peerTokenVariable     = "RWH_TEST_PEER_TOKEN"
+	operatorTokenVariable = "RWH_TEST_OPERATOR_TOKEN"
 )
 
-// waitLimit is how long an event may take before a test fails; it is far
-// beyond what any event needs, so that no test judges by speed.
+// waitLimit is how long an event may take before a test fails. It is far longer
+// than any event needs, so that tests do not fail because the machine is slow.
 const waitLimit = 60 * time.Second
 
 // Deployment is a running deployment.
@@ -57,7 +57,7 @@
 	vms         redwinghall.VMs
 }
 
-// stop ends the routers first, while what they depend on still answers.
+// stop stops the routers first, while the processes that they depend on still run.
 func (d *Deployment) stop() {
 	d.Client.CloseIdleConnections()
 	for i := range d.Routers {
@@ -70,8 +70,8 @@
 	require.NoError(d.t, d.group.Wait())
 }
 
-// StopRouter begins a planned stop of router i. The channel receives how it
-// ended; the test's end waits for it too.
+// StopRouter stops router i as planned and waits until it has ended. The channel
+// receives the result of its Run; cleanup of the test receives it too.
 func (d *Deployment) StopRouter(i int) <-chan error {
 	d.stopRouter[i]()
 	out := make(chan error, 1)
@@ -81,18 +81,18 @@
 	return out
 }
 
-// CallerAddress returns where router i takes callers' requests.
+// CallerAddress returns the address at which router i accepts callers' requests.
 func (d *Deployment) CallerAddress(i int) string { return d.callers[i] }
 
-// Operator returns a client of controller i.
+// Operator returns a client for the operator API of controller i.
 func (d *Deployment) Operator(i int) *operator.Client {
 	return operator.NewClient(d.operators[i], OperatorToken)
 }
 
-// VMs returns the platform's list as it was at the start.
+// VMs returns the platform's list of VMs as it was when the deployment started.
 func (d *Deployment) VMs() redwinghall.VMs { return append(redwinghall.VMs(nil), d.vms...) }
 
-// Manifest returns a manifest that uses all zones.
+// Manifest returns a manifest that places replicas in all zones.
 func (d *Deployment) Manifest(version string) redwinghall.Manifest {
 	sum := sha256.Sum256([]byte(Key))
 	replicas := map[string]int{}
@@ -114,14 +114,13 @@
 	}.WithDefaults()
 }
 
-// Eventually waits for an event.
+// Eventually waits until a condition holds.
 func (d *Deployment) Eventually(what string, done func() bool) {
 	d.t.Helper()
 	require.Eventually(d.t, done, waitLimit, 5*time.Millisecond, what)
 }
 
-// Submit puts a manifest in force and waits until every group is whole in
-// every router.
+// Submit submits a manifest and waits until every router can use every group.
 func (d *Deployment) Submit(version string) {
 	d.t.Helper()
 	manifest := d.Manifest(version)
@@ -135,11 +134,11 @@
 	d.WaitServing(version)
 }
 
-// WaitServing waits until every router can use every wanted group of a
-// version and knows a service endpoint.
+// WaitServing waits until every router can use all replicas of a version in its
+// zone, knows a service endpoint, and knows a gateway of each other zone.
 func (d *Deployment) WaitServing(version string) {
 	d.t.Helper()
-	d.Eventually("every router has its groups", func() bool {
+	d.Eventually("every router can use its groups", func() bool {
 		for _, r := range d.Routers {
 			if !d.serving(r, version) {
 				return false
--- a/rwhtest/fixedseed/fixedseed.go
+++ b/rwhtest/fixedseed/fixedseed.go
@@ -1,23 +1,24 @@
-// Package fixedseed makes property tests draw the same cases in each run, so
-// that CI gives the same verdict every time. `make explore` sets RWH_EXPLORE
-// and draws new ones.
+// Package fixedseed makes property tests generate the same cases in each run, so
+// that results of CI are reproducible. `make explore` sets RWH_EXPLORE to generate
+// new cases.
 package fixedseed
 
 import (
 	"flag"
 	"os"
 
-	// Imported so that its flags exist before init below sets one.
+	// Imported so that its flags are registered before init below sets one.
 	_ "pgregory.net/rapid"
 )
 
-// exploreVariable, when set, keeps rapid's own random seed.
+// exploreVariable names the environment variable that, when set, leaves rapid's
+// seed random.
 const exploreVariable = "RWH_EXPLORE"
 
 func init() {
 	if os.Getenv(exploreVariable) == "" {
 		if err := flag.Set("rapid.seed", "1"); err != nil {
-			panic(err) // rapid no longer has this flag
+			panic(err) // this version of rapid does not have the flag
 		}
 	}
 }
--- a/rwhtest/options.go
+++ b/rwhtest/options.go
@@ -6,23 +6,24 @@
 	"redwinghall/standin/engine"
 )
 
-// Options say what to start.
+// Options describe the deployment to start.
 type Options struct {
 	Zones          []string
 	RoutersPerZone int
 	VMsPerZone     int
 	VMsPerGroup    int
-	DomainSize     int // VMs in one fabric domain; 0: all of a zone
+	DomainSize     int // VMs in one fabric domain; 0: all VMs of a zone
 	Replicas       int // in each zone
 	Engine         engine.Config
-	// AliveBound and LostAfter default to times that no busy machine exceeds.
+	// AliveBound and LostAfter default to times that are not exceeded on a busy machine.
 	AliveBound time.Duration
 	LostAfter  time.Duration
 	// ServiceTimeout is the manifest's timeout of the service.
 	ServiceTimeout time.Duration
 	StallTimeout   time.Duration
 	MaxInFlight    int
-	// PlatformProxy, when set, stands between every process and the platform.
+	// PlatformProxy, when set, receives the address of the platform and returns the one
+	// through which routers and controllers reach it.
 	PlatformProxy func(platformAddress string) string
 }
 
@@ -37,22 +38,23 @@
 	if o.DomainSize == 0 {
 		o.DomainSize = o.VMsPerZone
 	}
-	o.AliveBound = orLong(o.AliveBound)
-	o.LostAfter = orLong(o.LostAfter)
-	o.ServiceTimeout = orLong(o.ServiceTimeout)
-	o.StallTimeout = orLong(o.StallTimeout)
+	o.AliveBound = withDefaultTime(o.AliveBound)
+	o.LostAfter = withDefaultTime(o.LostAfter)
+	o.ServiceTimeout = withDefaultTime(o.ServiceTimeout)
+	o.StallTimeout = withDefaultTime(o.StallTimeout)
 	if o.MaxInFlight == 0 {
 		o.MaxInFlight = 256
 	}
 	return o
 }
 
-// longTime is more than anything takes in a test that does not ask for less.
-const longTime = 20 * time.Second
+// defaultTime is the default of timeouts. It is longer than any operation takes in a
+// test that does not set a shorter one.
+const defaultTime = 20 * time.Second
 
-func orLong(d time.Duration) time.Duration {
+func withDefaultTime(d time.Duration) time.Duration {
 	if d == 0 {
-		return longTime
+		return defaultTime
 	}
 	return d
 }
--- a/rwhtest/session.go
+++ b/rwhtest/session.go
@@ -12,9 +12,9 @@
 	"redwinghall"
 )
 
-// Session writes down a whole session for a golden file: what callers and
-// operators sent and received, what the endpoints did, and what the table
-// holds in the end. What differs between runs is replaced by a name.
+// Session records a complete session for a golden file: the requests and responses
+// of callers and operators, what the endpoints executed, and the rows of the table at
+// the end. Values that differ between runs are replaced by placeholders.
 type Session struct {
 	d   *Deployment
 	out strings.Builder
@@ -23,25 +23,26 @@
 // NewSession returns an empty session of a deployment.
 func NewSession(d *Deployment) *Session { return &Session{d: d} }
 
-// Note adds a line of explanation.
+// Note adds a comment line.
 func (s *Session) Note(format string, args ...any) {
 	fmt.Fprintf(&s.out, "# "+format+"\n", args...)
 }
 
-// shownHeaders are those that belong to the exchange; the rest are transport.
-var shownHeaders = []string{"Content-Type", "Idempotency-Key", "Idempotency-Replayed", "Request-Timeout", "Retry-After", "X-Request-Id"}
+// recordedHeaders are the headers that belong to the API; the others belong to the
+// transport and are left out.
+var recordedHeaders = []string{"Content-Type", "Idempotency-Key", "Idempotency-Replayed", "Request-Timeout", "Retry-After", "X-Request-Id"}
 
-// Exchange writes down one request and its answer.
+// Exchange records one request and its response.
 func (s *Session) Exchange(who, method, path, body string, header map[string]string, r Reply) {
 	fmt.Fprintf(&s.out, "\n%s> %s %s\n", who, method, path)
-	for _, name := range shownHeaders {
+	for _, name := range recordedHeaders {
 		if v := header[name]; v != "" {
 			fmt.Fprintf(&s.out, "%s> %s: %s\n", who, name, v)
 		}
 	}
 	s.lines(who+"> ", body)
 	fmt.Fprintf(&s.out, "%s< %d\n", who, r.Status)
-	for _, name := range shownHeaders {
+	for _, name := range recordedHeaders {
 		if v := r.Header.Get(name); v != "" {
 			fmt.Fprintf(&s.out, "%s< %s: %s\n", who, name, v)
 		}
@@ -57,7 +58,7 @@
 	}
 }
 
-// Endpoints writes down what the engines and services did so far.
+// Endpoints records what the engines and services have executed so far.
 func (s *Session) Endpoints() {
 	record := s.d.Fleet.Record()
 	fmt.Fprintf(&s.out, "\nengines: %d requests begun, %d completed, %d in an incomplete group\n",
@@ -75,18 +76,18 @@
 	}
 }
 
-// Table writes down the rows below the prefixes.
+// Table records the rows whose keys start with the prefixes.
 func (s *Session) Table(prefixes ...string) {
 	for _, prefix := range prefixes {
 		rows, err := s.d.Table.Scan(s.d.t.Context(), prefix)
 		require.NoError(s.d.t, err)
 		for _, row := range rows {
-			fmt.Fprintf(&s.out, "platform: %s = %s\n", row.Key, plainValue(row))
+			fmt.Fprintf(&s.out, "platform: %s = %s\n", row.Key, formatValue(row))
 		}
 	}
 }
 
-func plainValue(row redwinghall.Row) string {
+func formatValue(row redwinghall.Row) string {
 	var claim redwinghall.Claim
 	if strings.HasPrefix(row.Key, "claim/") && json.Unmarshal(row.Value, &claim) == nil {
 		text := string(claim.State)
@@ -100,7 +101,8 @@
 
 var hashPattern = regexp.MustCompile(`[0-9a-f]{64}`)
 
-// Golden returns the session with hashes replaced by names.
+// Golden returns the contents of the golden file: the session with hashes replaced
+// by placeholders.
 func (s *Session) Golden() []byte {
 	names := map[string]string{}
 	return hashPattern.ReplaceAllFunc([]byte(s.out.String()), func(hash []byte) []byte {
--- a/rwhtest/session_test.go
+++ b/rwhtest/session_test.go
@@ -57,12 +57,12 @@
 		return call(t, d, s, "haulier", d.CallerAddress(router), http.MethodPost, path, body,
 			map[string]string{"Idempotency-Key": key, "X-Request-Id": id})
 	}
-	settled := func(i int) {
+	awaitOutcome := func(i int) {
 		d.Eventually("the outcome is recorded", func() bool { return d.Routers[i].Keeper.PendingOutcomes() == 0 })
 	}
 	s.Note("a deposit, and its retry through a router of another zone")
 	book(0, "book-1", "deposit-1", `{"amount":50}`)
-	settled(0)
+	awaitOutcome(0)
 	book(1, "book-2", "deposit-1", `{"amount":50}`)
 	s.Note("the same key with another amount")
 	book(1, "book-3", "deposit-1", `{"amount":60}`)
@@ -71,7 +71,7 @@
 	s.Note("the service runs the call and its answer is lost; then a retry")
 	d.Services["tartu"].SetFaults(service.Faults{CutAfterRun: 1})
 	book(0, "book-5", "deposit-2", `{"amount":50}`)
-	settled(0)
+	awaitOutcome(0)
 	book(1, "book-6", "deposit-2", `{"amount":50}`)
 	s.Endpoints()
 	s.Table("claim/")
--- a/rwhtest/start.go
+++ b/rwhtest/start.go
@@ -21,20 +21,20 @@
 	"redwinghall/standin/table"
 )
 
-// fast is the interval of every loop in a test.
-const fast = redwinghall.Duration(50 * time.Millisecond)
+// loopInterval is the interval of every periodic loop of routers and controllers.
+const loopInterval = redwinghall.Duration(50 * time.Millisecond)
 
 var nextIP atomic.Uint32
 
-// ip returns a loopback address that no other test uses at the same time, so
-// that ports need not be searched for.
-func ip() string {
+// uniqueHost returns a loopback address that no other test uses at the same time, so
+// that ports can be fixed.
+func uniqueHost() string {
 	n := nextIP.Add(1)
 	pid := uint32(os.Getpid())
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid%120, 1+(pid/120+n/250)%250, 1+n%250)
 }
 
-// Ports of a deployment on its own address.
+// First ports of each kind of listener; a deployment has an address of its own.
 const (
 	portPlatform       = 7000
 	portCaller         = 7100
@@ -45,21 +45,21 @@
 	portEngine         = 7600
 )
 
-// Start runs a deployment until the test ends.
+// Start starts a deployment and registers a cleanup that stops it.
 func Start(t testing.TB, o Options) *Deployment {
 	t.Helper()
-	require.NoError(t, os.Setenv(tokenVariable, peerToken))
-	require.NoError(t, os.Setenv(operVariable, OperatorToken))
+	require.NoError(t, os.Setenv(peerTokenVariable, peerToken))
+	require.NoError(t, os.Setenv(operatorTokenVariable, OperatorToken))
 	d := &Deployment{
 		t: t, options: o.withDefaults(), group: kernel.NewGroup(context.Background()),
 		Table: table.New(), Services: map[string]*service.Service{},
 		Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}},
 	}
 	t.Cleanup(d.stop)
-	host := ip()
+	host := uniqueHost()
 	d.startStandIns(host)
 	d.startDaemons(host)
-	d.Eventually("every process answers", d.answering)
+	d.Eventually("every process responds", d.allResponding)
 	return d
 }
 
@@ -112,8 +112,8 @@
 	common := func(m peer.Member) daemon.Common {
 		return daemon.Common{
 			ID: m.ID, AvailabilityZone: m.AvailabilityZone, PeerAddress: m.Address, PlatformAddress: platformAddress,
-			Peers: peers, PeerToken: daemon.Token{Env: tokenVariable},
-			ExchangeInterval: fast, HeadInterval: fast, AliveBound: redwinghall.Duration(d.options.AliveBound),
+			Peers: peers, PeerToken: daemon.Token{Env: peerTokenVariable},
+			ExchangeInterval: loopInterval, HeadInterval: loopInterval, AliveBound: redwinghall.Duration(d.options.AliveBound),
 		}
 	}
 	for i := range pairs {
@@ -124,8 +124,8 @@
 
 func (d *Deployment) startController(c daemon.Common, operatorAddress string) {
 	controller, err := daemon.NewController(daemon.ControllerSettings{
-		Common: c, OperatorAddress: operatorAddress, OperatorToken: daemon.Token{Env: operVariable},
-		StepInterval: fast, LeaseDuration: redwinghall.Duration(4 * time.Second),
+		Common: c, OperatorAddress: operatorAddress, OperatorToken: daemon.Token{Env: operatorTokenVariable},
+		StepInterval: loopInterval, LeaseDuration: redwinghall.Duration(4 * time.Second),
 		LeaseMargin: redwinghall.Duration(time.Second), LostAfter: redwinghall.Duration(d.options.LostAfter),
 		SettleTime: redwinghall.Duration(300 * time.Millisecond), OrderTimeout: redwinghall.Duration(200 * time.Millisecond),
 		MaxLoading: 100,
@@ -138,7 +138,7 @@
 
 func (d *Deployment) startRouter(c daemon.Common, callerAddress string) {
 	router, err := daemon.NewRouter(daemon.RouterSettings{
-		Common: c, CallerAddress: callerAddress, PollInterval: fast,
+		Common: c, CallerAddress: callerAddress, PollInterval: loopInterval,
 		StallTimeout: redwinghall.Duration(d.options.StallTimeout), ClaimInterval: redwinghall.Duration(time.Millisecond),
 		DrainDelay: redwinghall.Duration(100 * time.Millisecond), DrainTimeout: redwinghall.Duration(waitLimit),
 		RetryPercent: 100,
@@ -157,7 +157,7 @@
 	})
 }
 
-func (d *Deployment) answering() bool {
+func (d *Deployment) allResponding() bool {
 	for i := range d.callers {
 		if _, err := d.Operator(i).Status(d.t.Context()); err != nil {
 			return false
