--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -92,7 +92,7 @@
 		return false
 	}
 	_, _ = fmt.Fprintf(out, "seed %d: %d requests, %d served, %d attempts refused, %d without an answer, %d faults, %d wrong\n",
-		seed, report.Made, report.Served, report.Refused, report.Unanswered, len(report.Faults), len(report.Mistakes))
+		seed, report.Requests, report.Served, report.Refused, report.Unanswered, len(report.Faults), len(report.Mistakes))
 	if len(report.Mistakes) == 0 {
 		return os.RemoveAll(dir) == nil
 	}
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -99,7 +99,7 @@
 func (t *tally) fill(report *Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	report.Made, report.Served, report.Refused, report.Unanswered = t.made, t.served, len(t.refused), t.unanswered
+	report.Requests, report.Served, report.Refused, report.Unanswered = t.made, t.served, len(t.refused), t.unanswered
 }
 
 func (t *tally) counts() (made, served int) {
--- a/soak/promise.go
+++ b/soak/promise.go
@@ -91,7 +91,7 @@
 	}
 	report.Mistakes = p.tally.close(ledger)
 	p.fill(report)
-	report.Made, report.Served = p.requests, p.done
+	report.Requests, report.Served = p.requests, p.done
 	if p.requests == 0 || float64(p.done) < leastServed*float64(p.requests) {
 		report.Mistakes = append(report.Mistakes, fmt.Sprintf("during the stops %d of %d requests were served", p.done, p.requests))
 	}
--- a/soak/run.go
+++ b/soak/run.go
@@ -24,7 +24,7 @@
 // Report is what a run saw.
 type Report struct {
 	Seed   uint64
-	Made   int // requests
+	Requests   int // requests
 	Served int
 	// Refused counts attempts that were refused with a promise that they have
 	// not run, Unanswered those that got no answer at all.
