--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -92,11 +92,11 @@
 		return false
 	}
 	_, _ = fmt.Fprintf(out, "seed %d: %d requests, %d served, %d attempts refused, %d without an answer, %d faults, %d wrong\n",
-		seed, report.Requests, report.Served, report.Refused, report.Unanswered, len(report.Faults), len(report.Mistakes))
-	if len(report.Mistakes) == 0 {
+		seed, report.Requests, report.Served, report.Refused, report.Unanswered, len(report.Faults), len(report.Violations))
+	if len(report.Violations) == 0 {
 		return os.RemoveAll(dir) == nil
 	}
-	for _, m := range report.Mistakes {
+	for _, m := range report.Violations {
 		_, _ = fmt.Fprintln(out, "  wrong:", m)
 	}
 	for _, f := range report.Faults {
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -48,7 +48,7 @@
 				Host: fmt.Sprintf("127.%d.%d.", 111+os.Getpid()%100, i),
 			})
 			require.NoError(t, err)
-			require.Empty(t, report.Mistakes, "%s\nfaults: %v", one.cause, report.Faults)
+			require.Empty(t, report.Violations, "%s\nfaults: %v", one.cause, report.Faults)
 			require.Positive(t, report.Served)
 		})
 	}
--- a/soak/promise.go
+++ b/soak/promise.go
@@ -89,10 +89,10 @@
 			p.mistakes = append(p.mistakes, x.story("ran and got no answer"))
 		}
 	}
-	report.Mistakes = p.tally.close(ledger)
+	report.Violations = p.tally.close(ledger)
 	p.fill(report)
 	report.Requests, report.Served = p.requests, p.done
 	if p.requests == 0 || float64(p.done) < leastServed*float64(p.requests) {
-		report.Mistakes = append(report.Mistakes, fmt.Sprintf("during the stops %d of %d requests were served", p.done, p.requests))
+		report.Violations = append(report.Violations, fmt.Sprintf("during the stops %d of %d requests were served", p.done, p.requests))
 	}
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -29,7 +29,7 @@
 	// Refused counts attempts that were refused with a promise that they have
 	// not run, Unanswered those that got no answer at all.
 	Refused, Unanswered int
-	Mistakes            []string
+	Violations            []string
 	Faults              []string
 }
 
@@ -43,7 +43,7 @@
 	}
 	defer w.close()
 	if !w.waitServing(ctx) {
-		report.Mistakes = append(report.Mistakes, "no node served before the first fault")
+		report.Violations = append(report.Violations, "no node served before the first fault")
 		return report, nil
 	}
 	play := w.playFaults
@@ -54,7 +54,7 @@
 		return report, err
 	}
 	if err := w.set.Failed(); err != nil {
-		report.Mistakes = append(report.Mistakes, err.Error())
+		report.Violations = append(report.Violations, err.Error())
 	}
 	report.Faults = w.faults
 	return report, nil
@@ -82,12 +82,12 @@
 	if err := <-called; err != nil {
 		return err
 	}
-	report.Mistakes = append(t.close(w.ledger), w.mistakes...)
+	report.Violations = append(t.close(w.ledger), w.mistakes...)
 	t.fill(report)
 	if calm := madeCalm - made; calm == 0 || float64(servedCalm-served) < leastServed*float64(calm) {
-		report.Mistakes = append(report.Mistakes, fmt.Sprintf("after the faults %d of %d requests were served", servedCalm-served, calm))
+		report.Violations = append(report.Violations, fmt.Sprintf("after the faults %d of %d requests were served", servedCalm-served, calm))
 	}
-	report.Mistakes = append(report.Mistakes, w.checkWithdrawnKey(ctx)...)
+	report.Violations = append(report.Violations, w.checkWithdrawnKey(ctx)...)
 	return nil
 }
 
