--- a/soak/balancer.go
+++ b/soak/balancer.go
@@ -11,25 +11,25 @@
 	"redwinghall/platform"
 )
 
-// How the users' balancer asks nodes whether they are ready.
+// Readiness checks of the users' load balancer.
 const (
-	probeInterval = time.Second
-	missesOut     = 2 // in a row, which take a node out of rotation
+	probeInterval      = time.Second
+	unhealthyThreshold = 2 // consecutive failed checks that take a node out of rotation
 )
 
-// balancer picks nodes for new connections as the users' balancer does.
+// balancer chooses nodes for new connections as the users' load balancer does.
 type balancer struct {
-	nodes  []*nodeProcess
-	client *http.Client
-	mu     sync.Mutex
-	misses map[*nodeProcess]int // in a row
+	nodes        []*nodeProcess
+	client       *http.Client
+	mu           sync.Mutex
+	failedProbes map[*nodeProcess]int // consecutive
 }
 
 func newBalancer(nodes []*nodeProcess) *balancer {
-	return &balancer{nodes: nodes, client: &http.Client{Timeout: probeInterval}, misses: map[*nodeProcess]int{}}
+	return &balancer{nodes: nodes, client: &http.Client{Timeout: probeInterval}, failedProbes: map[*nodeProcess]int{}}
 }
 
-// start asks each node for its readiness until the group stops.
+// start checks the readiness of each node periodically until the group stops.
 func (b *balancer) start(g *kernel.Group) {
 	for _, n := range b.nodes {
 		g.Every("readiness."+n.settings.Node, probeInterval, func(ctx context.Context, _ time.Time) { b.probe(ctx, n) })
@@ -37,16 +37,16 @@
 }
 
 func (b *balancer) probe(ctx context.Context, n *nodeProcess) {
-	ready := b.askReady(ctx, n)
+	ready := b.isReady(ctx, n)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.misses[n]++
+	b.failedProbes[n]++
 	if ready {
-		b.misses[n] = 0
+		b.failedProbes[n] = 0
 	}
 }
 
-func (b *balancer) askReady(ctx context.Context, n *nodeProcess) bool {
+func (b *balancer) isReady(ctx context.Context, n *nodeProcess) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.settings.Readiness+platform.PathReadiness, nil)
 	if err != nil {
 		return false
@@ -58,51 +58,51 @@
 	return answer.Body.Close() == nil && answer.StatusCode == http.StatusOK
 }
 
-// pick returns the node for a new connection of a caller in a zone, other than
-// the one where the caller's last attempt failed.
-func (b *balancer) pick(zone string, random *rand.Rand, failed *nodeProcess) *nodeProcess {
+// pickNode returns the node for a new connection of a caller in a zone. It avoids
+// the node at which the caller's last attempt failed unless there is no other.
+func (b *balancer) pickNode(zone string, random *rand.Rand, failed *nodeProcess) *nodeProcess {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	choice := without(b.choice(zone), failed)
-	if len(choice) == 0 {
-		choice = without(b.nodes, failed)
+	candidates := without(b.candidates(zone), failed)
+	if len(candidates) == 0 {
+		candidates = without(b.nodes, failed)
 	}
-	if len(choice) == 0 {
-		return failed // there is no other
+	if len(candidates) == 0 {
+		return failed // there is no other node
 	}
-	return choice[random.IntN(len(choice))]
+	return candidates[random.IntN(len(candidates))]
 }
 
-// choice returns the nodes that get a zone's new connections. With under half
-// of the zone's nodes in rotation that is all of the zone, and with none the
-// nodes of the other zones.
-func (b *balancer) choice(zone string) []*nodeProcess {
-	var all, rotation, elsewhere []*nodeProcess
+// candidates returns the nodes that receive new connections of a zone's callers: the
+// zone's nodes in rotation. If fewer than half of its nodes are in rotation, these are
+// all of its nodes; if none is, the nodes in rotation of the other zones.
+func (b *balancer) candidates(zone string) []*nodeProcess {
+	var all, inRotation, otherZones []*nodeProcess
 	for _, n := range b.nodes {
-		in := b.misses[n] < missesOut
+		in := b.failedProbes[n] < unhealthyThreshold
 		switch {
 		case n.settings.Zone != zone && in:
-			elsewhere = append(elsewhere, n)
+			otherZones = append(otherZones, n)
 		case n.settings.Zone == zone && in:
-			rotation = append(rotation, n)
+			inRotation = append(inRotation, n)
 			all = append(all, n)
 		case n.settings.Zone == zone:
 			all = append(all, n)
 		}
 	}
 	switch {
-	case len(rotation) == 0 && len(elsewhere) > 0:
-		return elsewhere
-	case 2*len(rotation) < len(all):
+	case len(inRotation) == 0 && len(otherZones) > 0:
+		return otherZones
+	case 2*len(inRotation) < len(all):
 		return all
 	}
-	return rotation
+	return inRotation
 }
 
-func without(nodes []*nodeProcess, one *nodeProcess) []*nodeProcess {
+func without(nodes []*nodeProcess, excluded *nodeProcess) []*nodeProcess {
 	var rest []*nodeProcess
 	for _, n := range nodes {
-		if n != one {
+		if n != excluded {
 			rest = append(rest, n)
 		}
 	}
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -14,155 +14,156 @@
 )
 
 const (
-	callers      = 12
-	callerPause  = 20 * time.Millisecond
-	callerGiveUp = 6 * time.Second
-	// callerPatience is what callers say that they wait.
-	callerPatience = 5 * time.Second
+	callerCount    = 12
+	callerInterval = 20 * time.Millisecond
+	clientTimeout  = 6 * time.Second
+	// requestTimeout is the timeout that callers send with their requests.
+	requestTimeout = 5 * time.Second
 	answerTokens   = 70
 )
 
-// attempt is what became of one request.
+// attempt is one request and its result.
 type attempt struct {
-	id     string
-	kind   string
-	events int // of the whole answer, of a stream
-	status int // 0 if there was no answer
-	body   string
-	broken bool // the answer ended early
+	id         string
+	kind       string
+	events     int // number of events of the complete response, for a stream
+	status     int // 0 if there was no response
+	body       string
+	incomplete bool // the response ended early
 }
 
-// tally gathers attempts and what was wrong with them.
-type tally struct {
+// results collects the results of attempts and the violations that they show.
+type results struct {
 	mu         sync.Mutex
-	made       int
+	attempts   int
 	served     int
 	unanswered int
-	refused    []attempt // that say that they have not run
-	booked     []string
-	mistakes   []string
+	refused    []attempt // whose response states that the request was not executed
+	bookings   []string
+	violations []string
 }
 
-// add judges one attempt.
-func (t *tally) add(a attempt) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.made++
+// add counts one attempt and checks its response.
+func (r *results) add(a attempt) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.attempts++
 	if a.kind == "book" {
-		t.booked = append(t.booked, a.id)
+		r.bookings = append(r.bookings, a.id)
 	}
 	switch a.status {
 	case 0:
-		t.unanswered++
+		r.unanswered++
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		t.refused = append(t.refused, a)
+		r.refused = append(r.refused, a)
 	case http.StatusNotFound, http.StatusUnauthorized:
-		t.mistakes = append(t.mistakes, fmt.Sprintf("%s was denied with %d", a.id, a.status))
+		r.violations = append(r.violations, fmt.Sprintf("%s was rejected with status %d", a.id, a.status))
 	case http.StatusOK:
-		t.judgeAnswer(a)
+		r.checkResponse(a)
 	}
 }
 
-func (t *tally) judgeAnswer(a attempt) {
+func (r *results) checkResponse(a attempt) {
 	want := "done " + a.id
 	if a.kind == "stream" {
 		want = platformtest.WholeAnswer(a.id, a.events)
 	}
 	switch {
-	case !a.broken && a.body == want:
-		t.served++
-	case !a.broken:
-		t.mistakes = append(t.mistakes, fmt.Sprintf("%s got an answer that isn't its own, whole: %q", a.id, a.body))
+	case !a.incomplete && a.body == want:
+		r.served++
+	case !a.incomplete:
+		r.violations = append(r.violations, fmt.Sprintf("%s got a complete answer with the wrong content: %q", a.id, a.body))
 	case !strings.HasPrefix(want, a.body):
-		t.mistakes = append(t.mistakes, fmt.Sprintf("%s got pieces that are not its own: %q", a.id, a.body))
+		r.violations = append(r.violations, fmt.Sprintf("%s got a partial answer with the wrong content: %q", a.id, a.body))
 	}
 }
 
-// close checks what can only be told at the end: what the endpoints ran.
-func (t *tally) close(ledger *platformtest.Ledger) []string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, id := range t.booked {
-		if n := ledger.Runs(id); n > 1 {
-			t.mistakes = append(t.mistakes, fmt.Sprintf("%s ran %d times", id, n))
+// finish checks what is known only at the end, which requests the endpoints executed,
+// and returns all violations.
+func (r *results) finish(runs *platformtest.Ledger) []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, id := range r.bookings {
+		if n := runs.Runs(id); n > 1 {
+			r.violations = append(r.violations, fmt.Sprintf("%s ran %d times", id, n))
 		}
 	}
-	for _, a := range t.refused {
-		if a.kind == "book" && ledger.Runs(a.id) > 0 {
-			t.mistakes = append(t.mistakes, fmt.Sprintf("%s was refused with %d and ran", a.id, a.status))
+	for _, a := range r.refused {
+		if a.kind == "book" && runs.Runs(a.id) > 0 {
+			r.violations = append(r.violations, fmt.Sprintf("%s was refused with status %d and ran", a.id, a.status))
 		}
 	}
-	return t.mistakes
+	return r.violations
 }
 
-// fill reports what was counted.
-func (t *tally) fill(report *Report) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	report.Requests, report.Served, report.Refused, report.Unanswered = t.made, t.served, len(t.refused), t.unanswered
+// fillReport writes the counters to the report.
+func (r *results) fillReport(report *Report) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	report.Requests, report.Served, report.Refused, report.Unanswered = r.attempts, r.served, len(r.refused), r.unanswered
 }
 
-func (t *tally) counts() (made, served int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.made, t.served
+func (r *results) counts() (attempts, served int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.attempts, r.served
 }
 
-// call lets several callers ask until ctx ends. Each keeps its connection open
-// as long as its node answers.
-func (w *world) call(ctx context.Context, t *tally, name string) error {
+// runCallers runs callers that send requests until ctx ends. Each keeps its connection
+// open as long as its node responds.
+func (d *deployment) runCallers(ctx context.Context, r *results, name string) error {
 	g := kernel.NewGroup(ctx)
-	for i := range callers {
-		c := &caller{world: w, tally: t, name: fmt.Sprintf("%s-%d", name, i), node: i % len(w.nodes)}
-		c.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}, Timeout: callerGiveUp}
+	for i := range callerCount {
+		c := &caller{deployment: d, results: r, name: fmt.Sprintf("%s-%d", name, i), node: i % len(d.nodes)}
+		c.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}, Timeout: clientTimeout}
 		g.Go(c.name, c.run)
 	}
 	return g.Wait()
 }
 
 type caller struct {
-	world  *world
-	tally  *tally
-	name   string
-	node   int
-	client *http.Client
+	deployment *deployment
+	results    *results
+	name       string
+	node       int
+	client     *http.Client
 }
 
 func (c *caller) run(ctx context.Context) error {
 	kinds := []string{"stream", "stream", "book", "look"}
 	for n := 0; ctx.Err() == nil; n++ {
-		a := attempt{id: fmt.Sprintf("%s-%d", c.name, n), kind: kinds[n%len(kinds)], events: answerEvents}
-		c.ask(ctx, &a, stableKey)
+		a := attempt{id: fmt.Sprintf("%s-%d", c.name, n), kind: kinds[n%len(kinds)], events: responseEvents}
+		c.send(ctx, &a, stableKey)
 		if ctx.Err() == nil || a.status != 0 {
-			c.tally.add(a)
+			c.results.add(a)
 		}
 		if a.status != http.StatusOK {
-			c.node = (c.node + 1) % len(c.world.nodes) // as a balancer would send it elsewhere
+			c.node = (c.node + 1) % len(c.deployment.nodes) // a load balancer would choose another node too
 		}
-		kernel.Sleep(ctx, callerPause)
+		kernel.Sleep(ctx, callerInterval)
 	}
 	return nil
 }
 
-// ask sends one request and reads its answer.
-func (c *caller) ask(ctx context.Context, a *attempt, key string) {
+// send sends one request and reads its response.
+func (c *caller) send(ctx context.Context, a *attempt, key string) {
 	method := http.MethodPost
 	if a.kind == "look" {
 		method = http.MethodGet
 	}
-	address := c.world.nodes[c.node].settings.Callers
+	address := c.deployment.nodes[c.node].settings.Callers
 	r, err := platformtest.NewRequest(ctx, method, address, "/"+a.kind+"/x", nil, platformtest.Ask{
-		ID: a.id, Key: key, Model: "m0", Patience: callerPatience, Prompt: 100, Answer: answerTokens,
+		ID: a.id, Key: key, Model: "m0", Patience: requestTimeout, Prompt: 100, Answer: answerTokens,
 	})
 	if err != nil {
-		a.broken = true
+		a.incomplete = true
 		return
 	}
 	answer, err := c.client.Do(r)
 	if err != nil {
 		return
 	}
-	defer func() { _ = answer.Body.Close() }() // it was read or failed
+	defer func() { _ = answer.Body.Close() }() // the body was read, or reading failed
 	body, err := io.ReadAll(answer.Body)
-	a.status, a.body, a.broken = answer.StatusCode, string(body), err != nil
+	a.status, a.body, a.incomplete = answer.StatusCode, string(body), err != nil
 }
--- a/soak/connection.go
+++ b/soak/connection.go
@@ -14,18 +14,19 @@
 	"redwinghall/platform/platformtest"
 )
 
-// connectTimeout is how long callers wait for a new connection.
+// connectTimeout is the callers' timeout for a new connection.
 const connectTimeout = time.Second
 
-// connection is a caller's connection to a node. Unlike Go's client it never
-// sends a request again by itself, so that each end of a connection is seen.
+// connection is a caller's connection to a node. Unlike Go's HTTP client it never
+// resends a request by itself, so that every closed connection is observed.
 type connection struct {
 	node   *nodeProcess
 	conn   net.Conn
 	reader *bufio.Reader
 	used   bool
-	// unwatch stops the watch that closes it when its caller's run ends.
-	unwatch func() bool
+	// stopCloseOnDone unregisters the function that closes the connection when the
+	// context of the run ends.
+	stopCloseOnDone func() bool
 }
 
 func connect(ctx context.Context, n *nodeProcess) (*connection, error) {
@@ -35,21 +36,21 @@
 		return nil, err
 	}
 	c := &connection{node: n, conn: conn, reader: bufio.NewReader(conn)}
-	c.unwatch = context.AfterFunc(ctx, func() { _ = conn.Close() }) // the run is over
+	c.stopCloseOnDone = context.AfterFunc(ctx, func() { _ = conn.Close() }) // the run has ended
 	return c, nil
 }
 
 func (c *connection) close() {
-	c.unwatch()
-	_ = c.conn.Close() // nothing more is expected of it
+	c.stopCloseOnDone()
+	_ = c.conn.Close() // nothing more is read from it
 }
 
-// send sends an attempt's request and reads the answer into it.
+// send sends the request of an exchange and records the response in it.
 func (c *connection) send(r *http.Request, x *exchange) {
-	x.node, x.kept, x.sent = c.node, c.used, time.Now()
+	x.node, x.reused, x.sent = c.node, c.used, time.Now()
 	c.used = true
 	err := c.receive(r, x)
-	x.broken, x.late = err != nil, errors.Is(err, os.ErrDeadlineExceeded)
+	x.incomplete, x.deadlineExceeded = err != nil, errors.Is(err, os.ErrDeadlineExceeded)
 	x.ended = time.Now()
 }
 
@@ -64,16 +65,16 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = head.Body.Close() }() // it was read or failed
-	x.status, x.last, x.retryIn = head.StatusCode, head.Close, retryAfter(head.Header)
+	defer func() { _ = head.Body.Close() }() // the body was read, or reading failed
+	x.status, x.connectionClose, x.retryAfter = head.StatusCode, head.Close, parseRetryAfter(head.Header)
 	body, err := io.ReadAll(head.Body)
 	x.body = string(body)
 	return err
 }
 
-// retryAfter returns how long a node asks the caller to wait; fractions of a
-// second are allowed.
-func retryAfter(h http.Header) time.Duration {
+// parseRetryAfter returns the delay that the Retry-After header asks for, or 0.
+// Fractions of a second are allowed.
+func parseRetryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil {
 		return 0
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -10,18 +10,18 @@
 	"redwinghall/standin/link"
 )
 
-// fault does one thing to the world for a while, and undoes it.
+// fault disturbs one part of the deployment for a while and then restores it.
 type fault struct {
 	name string
-	run  func(ctx context.Context, w *world, lasts time.Duration) error
+	run  func(ctx context.Context, d *deployment, duration time.Duration) error
 }
 
-// Times of the faults. They come in series and overlap.
+// Times of the faults. Faults start one after another and overlap.
 const (
-	shortestPause = 200
-	longestPause  = 1200 // milliseconds between faults
-	shortestFault = 300
-	longestFault  = 4000 // milliseconds
+	minFaultInterval = 200
+	maxFaultInterval = 1200 // milliseconds between faults
+	minFaultDuration = 300
+	maxFaultDuration = 4000 // milliseconds
 )
 
 var faults = []fault{
@@ -29,198 +29,200 @@
 	{"kill node again", killNode},
 	{"stop node", stopNode},
 	{"freeze node", freezeNode},
-	{"hang up node", hangUpNode},
+	{"send SIGHUP to node", reloadNode},
 	{"cut node from store", nodeLink(link.Cut, 0)},
-	{"silence node's store connections", nodeLink(link.Swallow, 0)},
-	{"node hears nothing from the store", nodeLink(link.OneWay, 0)},
-	{"slow node's way to the store", nodeLink(link.Pass, 80*time.Millisecond)},
+	{"drop traffic of node's open store connections", nodeLink(link.Swallow, 0)},
+	{"drop the store's responses to node", nodeLink(link.OneWay, 0)},
+	{"delay between node and store", nodeLink(link.Pass, 80*time.Millisecond)},
 	{"reset endpoint's connections", endpointLink(link.Reset, 0)},
-	{"silence endpoint's connections", endpointLink(link.Swallow, 0)},
-	{"endpoint's answers are lost", endpointLink(link.OneWay, 0)},
-	{"slow way to endpoint", endpointLink(link.Pass, 60*time.Millisecond)},
-	{"cut endpoint off", endpointLink(link.Cut, 0)},
+	{"drop traffic of endpoint's open connections", endpointLink(link.Swallow, 0)},
+	{"drop endpoint's responses", endpointLink(link.OneWay, 0)},
+	{"delay to endpoint", endpointLink(link.Pass, 60*time.Millisecond)},
+	{"cut endpoint's link", endpointLink(link.Cut, 0)},
 	{"endpoint stalls", stallEndpoint},
-	{"endpoint ends and another comes", replaceEndpoint},
-	{"endpoint names a limit", limitEndpoint},
-	{"store busy", storeFault(platformtest.Faults{Refuse: http.StatusServiceUnavailable})},
-	{"store turns away", storeFault(platformtest.Faults{Refuse: http.StatusTooManyRequests})},
-	{"store silent", storeFault(platformtest.Faults{Silent: true})},
+	{"replace endpoint", replaceEndpoint},
+	{"endpoint sends a rate limit", limitEndpoint},
+	{"store responds 503", storeFault(platformtest.Faults{Refuse: http.StatusServiceUnavailable})},
+	{"store responds 429", storeFault(platformtest.Faults{Refuse: http.StatusTooManyRequests})},
+	{"store does not respond", storeFault(platformtest.Faults{Silent: true})},
 	{"store slow", storeFault(platformtest.Faults{Slow: 150 * time.Millisecond})},
-	{"store loses answers", storeFault(platformtest.Faults{LoseWrites: true})},
-	{"store forgets", forget},
-	{"store comes back older", storeComesBackOlder},
+	{"store loses responses", storeFault(platformtest.Faults{LoseWrites: true})},
+	{"store drops its history", dropStoreHistory},
+	{"restore store from a snapshot", restoreStore},
 	{"configuration changes", changeConfiguration},
 }
 
-// inject runs faults until the run's length is over, and waits for their ends.
-func (w *world) inject(ctx context.Context) error {
+// injectFaults starts random faults for the configured length and waits until all have
+// ended.
+func (d *deployment) injectFaults(ctx context.Context) error {
 	g := kernel.NewGroup(ctx)
-	end := time.Now().Add(w.config.Length)
+	end := time.Now().Add(d.config.Length)
 	for time.Now().Before(end) && ctx.Err() == nil {
-		f := faults[w.pick(len(faults))]
-		lasts := time.Duration(shortestFault+w.pick(longestFault-shortestFault)) * time.Millisecond
-		g.Go(f.name, func(ctx context.Context) error { return f.run(ctx, w, lasts) })
-		kernel.Sleep(ctx, time.Duration(shortestPause+w.pick(longestPause-shortestPause))*time.Millisecond)
+		f := faults[d.randomInt(len(faults))]
+		duration := time.Duration(minFaultDuration+d.randomInt(maxFaultDuration-minFaultDuration)) * time.Millisecond
+		g.Go(f.name, func(ctx context.Context) error { return f.run(ctx, d, duration) })
+		kernel.Sleep(ctx, time.Duration(minFaultInterval+d.randomInt(maxFaultInterval-minFaultInterval))*time.Millisecond)
 	}
 	return g.Wait()
 }
 
-// claim picks a node that no other fault ends or starts.
-func (w *world) claim() (*nodeProcess, bool) {
-	i := w.pick(len(w.nodes))
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	n := w.nodes[i]
-	if n.busy {
+// reserveNode chooses a random node and reserves it for one fault. It returns false if
+// another fault has reserved the node.
+func (d *deployment) reserveNode() (*nodeProcess, bool) {
+	i := d.randomInt(len(d.nodes))
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	n := d.nodes[i]
+	if n.reserved {
 		return nil, false
 	}
-	n.busy = true
+	n.reserved = true
 	return n, true
 }
 
-func (w *world) unclaim(n *nodeProcess) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	n.busy = false
-	w.disturbed = time.Now()
+func (d *deployment) releaseNode(n *nodeProcess) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	n.reserved = false
+	d.lastNodeFault = time.Now()
 }
 
-func killNode(ctx context.Context, w *world, lasts time.Duration) error {
-	n, ok := w.claim()
+func killNode(ctx context.Context, d *deployment, duration time.Duration) error {
+	n, ok := d.reserveNode()
 	if !ok {
 		return nil
 	}
-	defer w.unclaim(n)
-	w.note("kill %s for %s", n.settings.Node, lasts)
-	w.set.Kill(n.running)
-	kernel.Sleep(ctx, lasts)
-	return w.restart(n)
+	defer d.releaseNode(n)
+	d.recordFault("kill %s for %s", n.settings.Node, duration)
+	d.processes.Kill(n.proc)
+	kernel.Sleep(ctx, duration)
+	return d.restart(n)
 }
 
-func (w *world) restart(n *nodeProcess) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.startNode(n)
+func (d *deployment) restart(n *nodeProcess) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.startNode(n)
 }
 
-func stopNode(ctx context.Context, w *world, lasts time.Duration) error {
-	n, ok := w.claim()
+func stopNode(ctx context.Context, d *deployment, duration time.Duration) error {
+	n, ok := d.reserveNode()
 	if !ok {
 		return nil
 	}
-	defer w.unclaim(n)
-	w.note("stop %s", n.settings.Node)
-	if err := w.set.Stop(n.running); err != nil {
+	defer d.releaseNode(n)
+	d.recordFault("stop %s", n.settings.Node)
+	if err := d.processes.Stop(n.proc); err != nil {
 		return err
 	}
-	kernel.Sleep(ctx, lasts/4)
-	return w.restart(n)
+	kernel.Sleep(ctx, duration/4)
+	return d.restart(n)
 }
 
-func freezeNode(ctx context.Context, w *world, lasts time.Duration) error {
-	n, ok := w.claim()
+func freezeNode(ctx context.Context, d *deployment, duration time.Duration) error {
+	n, ok := d.reserveNode()
 	if !ok {
 		return nil
 	}
-	defer w.unclaim(n)
-	w.note("freeze %s for %s", n.settings.Node, lasts)
-	if err := n.running.Freeze(); err != nil {
+	defer d.releaseNode(n)
+	d.recordFault("freeze %s for %s", n.settings.Node, duration)
+	if err := n.proc.Freeze(); err != nil {
 		return err
 	}
-	kernel.Sleep(ctx, lasts)
-	return n.running.Thaw()
+	kernel.Sleep(ctx, duration)
+	return n.proc.Thaw()
 }
 
-func hangUpNode(_ context.Context, w *world, _ time.Duration) error {
-	n, ok := w.claim()
+func reloadNode(_ context.Context, d *deployment, _ time.Duration) error {
+	n, ok := d.reserveNode()
 	if !ok {
 		return nil
 	}
-	defer w.unclaim(n)
-	w.note("hang up %s", n.settings.Node)
-	return n.running.HangUp()
-}
-
-func nodeLink(mode link.Mode, delay time.Duration) func(context.Context, *world, time.Duration) error {
-	return func(ctx context.Context, w *world, lasts time.Duration) error {
-		n := w.nodes[w.pick(len(w.nodes))]
-		w.note("link of %s to the store: %s %s for %s", n.settings.Node, mode, delay, lasts)
-		n.toStore.Set(mode, delay)
-		kernel.Sleep(ctx, lasts)
-		n.toStore.Set(link.Pass, 0)
+	defer d.releaseNode(n)
+	d.recordFault("send SIGHUP to %s", n.settings.Node)
+	return n.proc.HangUp()
+}
+
+func nodeLink(mode link.Mode, delay time.Duration) func(context.Context, *deployment, time.Duration) error {
+	return func(ctx context.Context, d *deployment, duration time.Duration) error {
+		n := d.nodes[d.randomInt(len(d.nodes))]
+		d.recordFault("link of %s to the store: %s %s for %s", n.settings.Node, mode, delay, duration)
+		n.storeLink.Set(mode, delay)
+		kernel.Sleep(ctx, duration)
+		n.storeLink.Set(link.Pass, 0)
 		return nil
 	}
 }
 
-func (w *world) pickEndpoint() *liveEndpoint {
-	i := w.pick(1 << 20)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.endpoints[i%len(w.endpoints)]
+func (d *deployment) pickEndpoint() *linkedEndpoint {
+	i := d.randomInt(1 << 20)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.endpoints[i%len(d.endpoints)]
 }
 
-func endpointLink(mode link.Mode, delay time.Duration) func(context.Context, *world, time.Duration) error {
-	return func(ctx context.Context, w *world, lasts time.Duration) error {
-		e := w.pickEndpoint()
-		w.note("link of %s: %s %s for %s", e.config.ID, mode, delay, lasts)
+func endpointLink(mode link.Mode, delay time.Duration) func(context.Context, *deployment, time.Duration) error {
+	return func(ctx context.Context, d *deployment, duration time.Duration) error {
+		e := d.pickEndpoint()
+		d.recordFault("link of %s: %s %s for %s", e.config.ID, mode, delay, duration)
 		e.link.Set(mode, delay)
-		kernel.Sleep(ctx, lasts)
+		kernel.Sleep(ctx, duration)
 		e.link.Set(link.Pass, 0)
 		return nil
 	}
 }
 
-func stallEndpoint(ctx context.Context, w *world, lasts time.Duration) error {
-	e := w.pickEndpoint()
-	w.note("%s stalls for %s", e.config.ID, lasts)
+func stallEndpoint(ctx context.Context, d *deployment, duration time.Duration) error {
+	e := d.pickEndpoint()
+	d.recordFault("%s stalls for %s", e.config.ID, duration)
 	e.endpoint.Stall(true)
-	kernel.Sleep(ctx, lasts)
+	kernel.Sleep(ctx, duration)
 	e.endpoint.Stall(false)
 	return nil
 }
 
-// replaceEndpoint ends an endpoint. Its entry lapses a while later, and
-// another process takes its place.
-func replaceEndpoint(ctx context.Context, w *world, lasts time.Duration) error {
-	e := w.pickEndpoint()
-	w.note("%s ends for %s", e.config.ID, lasts)
+// replaceEndpoint stops an endpoint, removes its entry after the duration, as on
+// expiry, and starts another endpoint in its place.
+func replaceEndpoint(ctx context.Context, d *deployment, duration time.Duration) error {
+	e := d.pickEndpoint()
+	d.recordFault("stop %s, replace it after %s", e.config.ID, duration)
 	e.endpoint.Close()
-	kernel.Sleep(ctx, lasts)
+	kernel.Sleep(ctx, duration)
 	e.endpoint.Leave()
-	w.mu.Lock()
-	for i, one := range w.endpoints {
-		if one == e {
-			w.endpoints = append(w.endpoints[:i:i], w.endpoints[i+1:]...)
-			w.ended = append(w.ended, e)
-			w.mu.Unlock()
-			return w.addEndpoint(e.config.Service, e.config.Zone)
+	d.mu.Lock()
+	for i, other := range d.endpoints {
+		if other == e {
+			d.endpoints = append(d.endpoints[:i:i], d.endpoints[i+1:]...)
+			d.closedEndpoints = append(d.closedEndpoints, e)
+			d.mu.Unlock()
+			return d.addEndpoint(e.config.Service, e.config.Zone)
 		}
 	}
-	w.mu.Unlock()
-	return nil // another fault replaced it meanwhile
+	d.mu.Unlock()
+	return nil // another fault has replaced it in the meantime
 }
 
-func storeFault(f platformtest.Faults) func(context.Context, *world, time.Duration) error {
-	return func(ctx context.Context, w *world, lasts time.Duration) error {
-		w.note("store: %+v for %s", f, lasts)
-		w.store.SetFaults(f)
-		kernel.Sleep(ctx, lasts)
-		w.store.SetFaults(platformtest.Faults{})
+func storeFault(f platformtest.Faults) func(context.Context, *deployment, time.Duration) error {
+	return func(ctx context.Context, d *deployment, duration time.Duration) error {
+		d.recordFault("store: %+v for %s", f, duration)
+		d.store.SetFaults(f)
+		kernel.Sleep(ctx, duration)
+		d.store.SetFaults(platformtest.Faults{})
 		return nil
 	}
 }
 
-func forget(_ context.Context, w *world, _ time.Duration) error {
-	w.note("store forgets")
-	w.store.Forget()
+func dropStoreHistory(_ context.Context, d *deployment, _ time.Duration) error {
+	d.recordFault("store drops its history")
+	d.store.Forget()
 	return nil
 }
 
-func changeConfiguration(_ context.Context, w *world, _ time.Duration) error {
-	w.mu.Lock()
-	w.version++
-	version := w.version
-	w.mu.Unlock()
-	w.note("configuration %d", version)
-	return w.store.Put("op", "config", platformtest.Configuration(version, stableKey, withdrawnKey))
+func changeConfiguration(_ context.Context, d *deployment, _ time.Duration) error {
+	d.mu.Lock()
+	d.configVersion++
+	version := d.configVersion
+	d.mu.Unlock()
+	d.recordFault("configuration %d", version)
+	return d.store.Put("op", "config", platformtest.Configuration(version, stableKey, withdrawnKey))
 }
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -9,41 +9,44 @@
 	"redwinghall/platform/platformtest"
 )
 
-// What an endpoint may get that names a limit, over all nodes.
+// Bounds on the requests that all nodes together may send to a rate-limited endpoint.
 const (
 	limitWindow    = 4 * time.Second
 	limitOvershoot = 1.5
 	limitSlack     = 5 // requests
-	// limitContact is how long nodes that run undisturbed have to learn of a limit.
-	limitContact = 3 * time.Second
-	// limitLasts is longer than what is judged, so that some windows lie within.
-	limitLasts   = limitContact + 2*limitWindow
-	highestLimit = 4 // requests a second
+	// limitPropagation is the time within which all nodes must have learned of a limit,
+	// counted from when no fault affects any of them.
+	limitPropagation = 3 * time.Second
+	// minLimitDuration is long enough that complete windows lie within the time in which
+	// the limit is checked.
+	minLimitDuration = limitPropagation + 2*limitWindow
+	maxLimit         = 4 // requests a second
 )
 
-// limitEndpoint lets an endpoint name a limit for a while, and checks what it gets.
-func limitEndpoint(ctx context.Context, w *world, lasts time.Duration) error {
-	e, perSecond := w.pickEndpoint(), float64(1+w.pick(highestLimit))
-	w.note("%s names a limit of %g a second for %s", e.config.ID, perSecond, limitLasts+lasts)
-	named := time.Now()
+// limitEndpoint makes an endpoint send a rate limit for a while and checks the rate of
+// the requests that it receives.
+func limitEndpoint(ctx context.Context, d *deployment, duration time.Duration) error {
+	e, perSecond := d.pickEndpoint(), float64(1+d.randomInt(maxLimit))
+	d.recordFault("%s sends a limit of %g requests a second for %s", e.config.ID, perSecond, minLimitDuration+duration)
+	limitSetAt := time.Now()
 	e.endpoint.NameLimit(perSecond)
-	kernel.Sleep(ctx, limitLasts+lasts)
-	w.judgeLimit(e, perSecond, named)
+	kernel.Sleep(ctx, minLimitDuration+duration)
+	d.checkLimit(e, perSecond, limitSetAt)
 	e.endpoint.EndLimit()
 	return nil
 }
 
-// judgeLimit counts from when all nodes run undisturbed: one that has just started or woken
-// can't know yet.
-func (w *world) judgeLimit(e *liveEndpoint, perSecond float64, named time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	from := named
-	if w.disturbed.After(from) {
-		from = w.disturbed
+// checkLimit checks the limit from limitPropagation after the last fault of a node: a
+// node that has just started or resumed cannot know the limit yet.
+func (d *deployment) checkLimit(e *linkedEndpoint, perSecond float64, limitSetAt time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	from := limitSetAt
+	if d.lastNodeFault.After(from) {
+		from = d.lastNodeFault
 	}
-	most := platformtest.MostIn(e.endpoint.Arrived(), limitWindow, from.Add(limitContact))
+	most := platformtest.MostIn(e.endpoint.Arrived(), limitWindow, from.Add(limitPropagation))
 	if allowed := limitOvershoot*perSecond*limitWindow.Seconds() + limitSlack; float64(most) > allowed {
-		w.mistakes = append(w.mistakes, fmt.Sprintf("%s named a limit of %g a second and got %d requests in %s", e.config.ID, perSecond, most, limitWindow))
+		d.violations = append(d.violations, fmt.Sprintf("%s sent a limit of %g requests a second and received %d requests in %s", e.config.ID, perSecond, most, limitWindow))
 	}
 }
--- a/soak/promise.go
+++ b/soak/promise.go
@@ -8,91 +8,92 @@
 	"redwinghall/platform/platformtest"
 )
 
-// exchange is an attempt over a connection of its session's own.
+// exchange is an attempt over the connection of its session.
 type exchange struct {
 	attempt
-	node    *nodeProcess
-	kept    bool // the connection had served before
-	late    bool // the caller's time was over
-	last    bool // the node ends the connection with its answer
-	retryIn time.Duration
-	sent    time.Time // zero if there was no connection
-	ended   time.Time
-	stopped time.Time // when the node last got SIGTERM
+	node             *nodeProcess
+	reused           bool // the connection had carried an earlier request
+	deadlineExceeded bool // the caller's timeout expired
+	connectionClose  bool // the response closes the connection
+	retryAfter       time.Duration
+	sent             time.Time // zero if there was no connection
+	ended            time.Time
+	stoppedAt        time.Time // when the node last got SIGTERM
 }
 
-func (x *exchange) served() bool { return x.status == http.StatusOK && !x.broken }
+func (x *exchange) served() bool { return x.status == http.StatusOK && !x.incomplete }
 
-// timedOut reports whether the attempt used all the time that its caller and
-// its route give.
+// timedOut reports whether the attempt took at least the timeout of its caller and
+// its route.
 func (x *exchange) timedOut() bool {
-	return x.late || x.ended.Sub(x.sent) >= platformtest.RouteTimeout
+	return x.deadlineExceeded || x.ended.Sub(x.sent) >= platformtest.RouteTimeout
 }
 
-// story tells how the attempt lies to its node's stop.
-func (x *exchange) story(what string) string {
+// describe returns a message on the attempt, with its times relative to the last
+// SIGTERM of its node.
+func (x *exchange) describe(what string) string {
 	connection := "new"
-	if x.kept {
+	if x.reused {
 		connection = "kept"
 	}
-	if x.stopped.IsZero() {
+	if x.stoppedAt.IsZero() {
 		return fmt.Sprintf("%s (%s) %s, on a %s connection to %s, which was not stopped", x.id, x.kind, what, connection, x.node.settings.Node)
 	}
 	return fmt.Sprintf("%s (%s) %s, on a %s connection to %s: sent %.3f s after its SIGTERM, ended %.3f s after it",
-		x.id, x.kind, what, connection, x.node.settings.Node, x.sent.Sub(x.stopped).Seconds(), x.ended.Sub(x.stopped).Seconds())
+		x.id, x.kind, what, connection, x.node.settings.Node, x.sent.Sub(x.stoppedAt).Seconds(), x.ended.Sub(x.stoppedAt).Seconds())
 }
 
-// promise checks that planned stops are graceful: they cut off no request in
-// progress, and callers still get served, with one retry.
-type promise struct {
-	tally
-	requests int
-	done     int // requests that were served in the end
-	silent   []exchange
+// stopChecker checks that planned stops are graceful: no request in progress is cut
+// off, and requests are served with at most one retry.
+type stopChecker struct {
+	results
+	requests            int
+	servedRequests      int // by the first attempt or by the retry
+	unansweredExchanges []exchange
 }
 
-// add judges one attempt.
-func (p *promise) add(x exchange) {
-	p.tally.add(x.attempt)
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// add counts one attempt and checks its response.
+func (c *stopChecker) add(x exchange) {
+	c.results.add(x.attempt)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
 	case x.sent.IsZero() || x.timedOut():
-	case x.status != 0 && x.broken:
-		p.mistakes = append(p.mistakes, x.story("got an answer that ends early"))
+	case x.status != 0 && x.incomplete:
+		c.violations = append(c.violations, x.describe("got a truncated answer"))
 	case x.status == 0:
-		p.silent = append(p.silent, x)
+		c.unansweredExchanges = append(c.unansweredExchanges, x)
 	}
 }
 
-// outlasted notes that a node didn't end within its grace.
-func (p *promise) outlasted(n *nodeProcess) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.mistakes = append(p.mistakes, n.settings.Node+" outlasted its grace and was killed")
+// recordKilled records that a node did not exit within its grace period.
+func (c *stopChecker) recordKilled(n *nodeProcess) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violations = append(c.violations, n.settings.Node+" did not exit within its grace period and was killed")
 }
 
-// end notes that a request and its retry are over.
-func (p *promise) end(served bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.requests++
+// recordRequest records the result of a request, including its retry.
+func (c *stopChecker) recordRequest(served bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests++
 	if served {
-		p.done++
+		c.servedRequests++
 	}
 }
 
-// close checks what can only be told at the end, and reports.
-func (p *promise) close(ledger *platformtest.Ledger, report *Report) {
-	for _, x := range p.silent {
-		if ledger.Runs(x.id) > 0 {
-			p.mistakes = append(p.mistakes, x.story("ran and got no answer"))
+// finish checks what is known only at the end and fills in the report.
+func (c *stopChecker) finish(runs *platformtest.Ledger, report *Report) {
+	for _, x := range c.unansweredExchanges {
+		if runs.Runs(x.id) > 0 {
+			c.violations = append(c.violations, x.describe("ran and got no answer"))
 		}
 	}
-	report.Violations = p.tally.close(ledger)
-	p.fill(report)
-	report.Requests, report.Served = p.requests, p.done
-	if p.requests == 0 || float64(p.done) < leastServed*float64(p.requests) {
-		report.Violations = append(report.Violations, fmt.Sprintf("during the stops %d of %d requests were served", p.done, p.requests))
+	report.Violations = c.results.finish(runs)
+	c.fillReport(report)
+	report.Requests, report.Served = c.requests, c.servedRequests
+	if c.requests == 0 || float64(c.servedRequests) < minServedRatio*float64(c.requests) {
+		report.Violations = append(report.Violations, fmt.Sprintf("during the stops %d of %d requests were served", c.servedRequests, c.requests))
 	}
 }
--- a/soak/return.go
+++ b/soak/return.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	// copyAge is the least age of the copy from which the store comes back.
-	copyAge = time.Second
-	// silentEntries is how long the store keeps entries that nobody writes again.
-	silentEntries = 3600 * time.Millisecond
+	// minSnapshotAge is the least age of the snapshot from which the store is restored.
+	minSnapshotAge = time.Second
+	// entryTimeout is how long the store keeps entries that are not written again.
+	entryTimeout = 3600 * time.Millisecond
 )
 
-// storeComesBackOlder lets the store come back from a copy. Operators and endpoints write
-// again what it lost; entries of endpoints that have ended since are removed for their silence.
-func storeComesBackOlder(ctx context.Context, w *world, lasts time.Duration) error {
-	kept := w.store.Copy()
-	kernel.Sleep(ctx, copyAge+lasts)
-	w.note("store comes back from a copy %s old", copyAge+lasts)
-	w.store.ComeBack(kept)
-	if err := w.writeAgain(); err != nil {
+// restoreStore restores the store from a snapshot. Operators and endpoints then write
+// their lost entries again. Restored entries of endpoints that have been closed since
+// are removed after entryTimeout, as nobody writes them again.
+func restoreStore(ctx context.Context, d *deployment, duration time.Duration) error {
+	snapshot := d.store.Copy()
+	kernel.Sleep(ctx, minSnapshotAge+duration)
+	d.recordFault("restore the store from a snapshot %s old", minSnapshotAge+duration)
+	d.store.ComeBack(snapshot)
+	if err := d.rewriteEntries(); err != nil {
 		return err
 	}
-	kernel.Sleep(ctx, silentEntries)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, e := range w.ended {
+	kernel.Sleep(ctx, entryTimeout)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, e := range d.closedEndpoints {
 		e.endpoint.Leave()
 	}
 	return nil
 }
 
-func (w *world) writeAgain() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, e := range w.endpoints {
+func (d *deployment) rewriteEntries() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, e := range d.endpoints {
 		if err := e.endpoint.Beat(); err != nil {
 			return err
 		}
 	}
-	return w.store.Put("op", "config", platformtest.Configuration(w.version, stableKey, withdrawnKey))
+	return d.store.Put("op", "config", platformtest.Configuration(d.configVersion, stableKey, withdrawnKey))
 }
--- a/soak/run.go
+++ b/soak/run.go
@@ -9,97 +9,97 @@
 	"redwinghall/platform/platformtest"
 )
 
-// Times of a run around its faults.
+// Phases and bounds of a run.
 const (
-	formingTime = 25 * time.Second // until the first groups must serve
-	quietTime   = 8 * time.Second  // after the last fault, before service must be whole again
-	calmTime    = 3 * time.Second  // the rest of the run, whose share of served requests counts
-	// leastServed is the share that must be served during planned stops, and
-	// once all is quiet after faults.
-	leastServed = 0.9
-	// keyBound is how long a withdrawn key may still work.
-	keyBound = 2500 * time.Millisecond
+	startupTimeout = 25 * time.Second // until the first groups must serve
+	recoveryTime   = 8 * time.Second  // after the last fault, until the service must have recovered
+	measuredTime   = 3 * time.Second  // after recoveryTime, in which the ratio of served requests is measured
+	// minServedRatio is the ratio of requests that must be served during planned stops,
+	// and after the service has recovered from faults.
+	minServedRatio = 0.9
+	// keyRevocationTime is how long a withdrawn key may still be accepted.
+	keyRevocationTime = 2500 * time.Millisecond
 )
 
-// Report is what a run saw.
+// Report is the result of a run.
 type Report struct {
-	Seed   uint64
-	Requests   int // requests
-	Served int
-	// Refused counts attempts that were refused with a promise that they have
-	// not run, Unanswered those that got no answer at all.
+	Seed     uint64
+	Requests int
+	Served   int
+	// Refused counts attempts whose response states that the request was not
+	// executed, Unanswered those without a response.
 	Refused, Unanswered int
-	Violations            []string
+	Violations          []string
 	Faults              []string
 }
 
-// Run plays one seed. The error is about the run itself; what the nodes did
-// wrong stands in the report.
+// Run runs the plan with one seed. The error is about the run itself; violations by the
+// nodes are in the report.
 func Run(ctx context.Context, config Config) (Report, error) {
 	report := Report{Seed: config.Seed}
-	w, err := newWorld(config)
+	d, err := newDeployment(config)
 	if err != nil {
 		return report, err
 	}
-	defer w.close()
-	if !w.waitServing(ctx) {
+	defer d.stop()
+	if !d.waitServing(ctx) {
 		report.Violations = append(report.Violations, "no node served before the first fault")
 		return report, nil
 	}
-	play := w.playFaults
+	runPlan := d.runFaults
 	if config.Plan == PlanStops {
-		play = w.playStops
+		runPlan = d.runStops
 	}
-	if err := play(ctx, &report); err != nil {
+	if err := runPlan(ctx, &report); err != nil {
 		return report, err
 	}
-	if err := w.set.Failed(); err != nil {
+	if err := d.processes.Failed(); err != nil {
 		report.Violations = append(report.Violations, err.Error())
 	}
-	report.Faults = w.faults
+	report.Faults = d.faults
 	return report, nil
 }
 
-// playFaults injects faults while callers ask, and checks that all is well
-// again after the last one.
-func (w *world) playFaults(ctx context.Context, report *Report) error {
-	t := &tally{}
-	calling, stop := context.WithCancel(ctx)
+// runFaults injects faults while callers send requests, and checks that the service
+// recovers after the last fault.
+func (d *deployment) runFaults(ctx context.Context, report *Report) error {
+	r := &results{}
+	callersCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	called := make(chan error, 1)
-	w.group.Go("callers", func(context.Context) error {
-		called <- w.call(calling, t, fmt.Sprintf("s%d", w.config.Seed))
+	callersDone := make(chan error, 1)
+	d.group.Go("callers", func(context.Context) error {
+		callersDone <- d.runCallers(callersCtx, r, fmt.Sprintf("s%d", d.config.Seed))
 		return nil
 	})
-	if err := w.inject(ctx); err != nil {
+	if err := d.injectFaults(ctx); err != nil {
 		return err
 	}
-	time.Sleep(quietTime)
-	made, served := t.counts()
-	time.Sleep(calmTime)
-	madeCalm, servedCalm := t.counts()
+	time.Sleep(recoveryTime)
+	attemptsBefore, servedBefore := r.counts()
+	time.Sleep(measuredTime)
+	attemptsAfter, servedAfter := r.counts()
 	stop()
-	if err := <-called; err != nil {
+	if err := <-callersDone; err != nil {
 		return err
 	}
-	report.Violations = append(t.close(w.ledger), w.mistakes...)
-	t.fill(report)
-	if calm := madeCalm - made; calm == 0 || float64(servedCalm-served) < leastServed*float64(calm) {
-		report.Violations = append(report.Violations, fmt.Sprintf("after the faults %d of %d requests were served", servedCalm-served, calm))
+	report.Violations = append(r.finish(d.runs), d.violations...)
+	r.fillReport(report)
+	if attempts := attemptsAfter - attemptsBefore; attempts == 0 || float64(servedAfter-servedBefore) < minServedRatio*float64(attempts) {
+		report.Violations = append(report.Violations, fmt.Sprintf("after the faults %d of %d requests were served", servedAfter-servedBefore, attempts))
 	}
-	report.Violations = append(report.Violations, w.checkWithdrawnKey(ctx)...)
+	report.Violations = append(report.Violations, d.checkWithdrawnKey(ctx)...)
 	return nil
 }
 
 // waitServing waits until each node has served a stream.
-func (w *world) waitServing(ctx context.Context) bool {
-	end := time.Now().Add(formingTime)
-	for i := range w.nodes {
-		c := &caller{world: w, name: "warm", node: i, client: &http.Client{Timeout: callerGiveUp}}
+func (d *deployment) waitServing(ctx context.Context) bool {
+	end := time.Now().Add(startupTimeout)
+	for i := range d.nodes {
+		c := &caller{deployment: d, name: "warm", node: i, client: &http.Client{Timeout: clientTimeout}}
 		for {
 			a := attempt{id: fmt.Sprintf("warm-%d-%d", i, time.Now().UnixNano()), kind: "stream"}
-			c.ask(ctx, &a, stableKey)
-			if a.status == http.StatusOK && !a.broken {
+			c.send(ctx, &a, stableKey)
+			if a.status == http.StatusOK && !a.incomplete {
 				break
 			}
 			if time.Now().After(end) || ctx.Err() != nil {
@@ -111,20 +111,20 @@
 	return true
 }
 
-// checkWithdrawnKey takes a key away and checks that it works at no node.
-func (w *world) checkWithdrawnKey(ctx context.Context) []string {
-	if err := w.store.Put("op", "config", platformtest.Configuration(w.version+1, stableKey)); err != nil {
+// checkWithdrawnKey withdraws a key and checks that every node rejects it.
+func (d *deployment) checkWithdrawnKey(ctx context.Context) []string {
+	if err := d.store.Put("op", "config", platformtest.Configuration(d.configVersion+1, stableKey)); err != nil {
 		return []string{err.Error()}
 	}
-	time.Sleep(keyBound)
-	var mistakes []string
-	for i := range w.nodes {
-		c := &caller{world: w, name: "withdrawn", node: i, client: &http.Client{Timeout: callerGiveUp}}
+	time.Sleep(keyRevocationTime)
+	var violations []string
+	for i := range d.nodes {
+		c := &caller{deployment: d, name: "withdrawn", node: i, client: &http.Client{Timeout: clientTimeout}}
 		a := attempt{id: fmt.Sprintf("withdrawn-%d", i), kind: "look"}
-		c.ask(ctx, &a, withdrawnKey)
+		c.send(ctx, &a, withdrawnKey)
 		if a.status != http.StatusUnauthorized {
-			mistakes = append(mistakes, fmt.Sprintf("%s answered a withdrawn key with %d", w.nodeName(i), a.status))
+			violations = append(violations, fmt.Sprintf("%s answered a request with a withdrawn key with status %d", d.nodeName(i), a.status))
 		}
 	}
-	return mistakes
+	return violations
 }
--- a/soak/session.go
+++ b/soak/session.go
@@ -11,43 +11,43 @@
 	"redwinghall/platform/platformtest"
 )
 
-// What sessions ask for. Streams last about as long as the grace of a stop,
-// and some nearly as long as their route allows.
+// Workload of the sessions. Streams last about as long as the grace period of a stop, and
+// some nearly as long as the timeout of their route.
 const (
-	sessions         = 48
-	newConnectionsOf = 4 // each so many'th session opens a new connection for each request
-	attemptsAtMost   = 2
-	longEventPause   = 100 * time.Millisecond
-	longEventTokens  = 15
-	deskWork         = 200 * time.Millisecond
-	shortestStream   = 500 * time.Millisecond
-	streamSpread     = 2500 * time.Millisecond // mean of what is added to the shortest
-	longestStream    = 5500 * time.Millisecond
-	// waitLimit is the longest that callers wait before a retry if told so.
-	waitLimit = platformtest.RouteTimeout / 3
-	// failurePause keeps a session that is refused at once from asking far more
-	// often than one that is served.
-	failurePause = time.Second
+	sessionCount            = 48
+	newConnectionEvery      = 4 // every n-th session opens a new connection for each request
+	maxAttempts             = 2
+	stopsEventInterval      = 100 * time.Millisecond
+	stopsEventTokens        = 15
+	deskServiceTime         = 200 * time.Millisecond
+	minStreamDuration       = 500 * time.Millisecond
+	meanExtraStreamDuration = 2500 * time.Millisecond // added to minStreamDuration
+	maxStreamDuration       = 5500 * time.Millisecond
+	// maxRetryDelay bounds how long callers follow a Retry-After header.
+	maxRetryDelay = platformtest.RouteTimeout / 3
+	// failureDelay keeps a session that is refused immediately from sending far more
+	// requests than one that is served.
+	failureDelay = time.Second
 )
 
-// session is a caller that reaches nodes through the balancer. Most keep their
-// connection and use it again at once after each answer, until it ends.
+// session is a caller that reaches nodes through the load balancer. Most sessions keep
+// their connection and reuse it immediately after each response, until it is closed.
 type session struct {
-	world    *world
-	balancer *balancer
-	promise  *promise
-	random   *rand.Rand
-	name     string
-	zone     string
-	keeps    bool
-	made     int
-	conn     *connection
+	deployment *deployment
+	balancer   *balancer
+	checker    *stopChecker
+	random     *rand.Rand
+	name       string
+	zone       string
+	keepAlive  bool
+	attempts   int
+	conn       *connection
 }
 
-func newSession(w *world, b *balancer, p *promise, i int) *session {
+func newSession(d *deployment, b *balancer, c *stopChecker, i int) *session {
 	return &session{
-		world: w, balancer: b, promise: p, random: rand.New(rand.NewPCG(w.config.Seed, uint64(i))), //nolint:gosec // few sessions
-		name: fmt.Sprintf("s%d-%d", w.config.Seed, i), zone: zones[i%len(zones)], keeps: i%newConnectionsOf != 0,
+		deployment: d, balancer: b, checker: c, random: rand.New(rand.NewPCG(d.config.Seed, uint64(i))), //nolint:gosec // few sessions
+		name: fmt.Sprintf("s%d-%d", d.config.Seed, i), zone: zones[i%len(zones)], keepAlive: i%newConnectionEvery != 0,
 	}
 }
 
@@ -56,44 +56,45 @@
 	for ctx.Err() == nil {
 		s.request(ctx, kinds[s.random.IntN(len(kinds))], s.streamEvents())
 	}
-	s.hangUp()
+	s.closeConnection()
 	return nil
 }
 
-// streamEvents draws the length of a stream.
+// streamEvents returns a random number of events for a stream.
 func (s *session) streamEvents() int {
-	lasts := shortestStream + time.Duration(s.random.ExpFloat64()*float64(streamSpread))
-	return int(min(lasts, longestStream) / longEventPause)
+	duration := minStreamDuration + time.Duration(s.random.ExpFloat64()*float64(meanExtraStreamDuration))
+	return int(min(duration, maxStreamDuration) / stopsEventInterval)
 }
 
-// request asks once, and once more elsewhere if that fails.
+// request sends a request and, if it fails, retries it once, at another node if there is
+// one.
 func (s *session) request(ctx context.Context, kind string, events int) {
 	served := false
 	var failed *nodeProcess
-	for try := 0; try < attemptsAtMost && !served; try++ {
+	for try := 0; try < maxAttempts && !served; try++ {
 		x := s.exchange(ctx, kind, events, failed)
 		if ctx.Err() != nil {
-			return // the end of the run broke it off
+			return // the end of the run cancelled the attempt
 		}
-		s.promise.add(x)
+		s.checker.add(x)
 		served, failed = x.served(), x.node
 		if !served {
-			s.hangUp()
-			kernel.Sleep(ctx, min(x.retryIn, waitLimit))
+			s.closeConnection()
+			kernel.Sleep(ctx, min(x.retryAfter, maxRetryDelay))
 		}
 	}
-	s.promise.end(served)
+	s.checker.recordRequest(served)
 	if !served {
-		kernel.Sleep(ctx, failurePause)
+		kernel.Sleep(ctx, failureDelay)
 	}
 }
 
-// exchange makes one attempt, on the session's connection if it has one.
+// exchange makes one attempt, on the session's open connection or on a new one.
 func (s *session) exchange(ctx context.Context, kind string, events int, failed *nodeProcess) exchange {
-	s.made++
-	x := exchange{attempt: attempt{id: fmt.Sprintf("%s-%d", s.name, s.made), kind: kind, events: events}}
+	s.attempts++
+	x := exchange{attempt: attempt{id: fmt.Sprintf("%s-%d", s.name, s.attempts), kind: kind, events: events}}
 	if s.conn == nil {
-		x.node = s.balancer.pick(s.zone, s.random, failed)
+		x.node = s.balancer.pickNode(s.zone, s.random, failed)
 		conn, err := connect(ctx, x.node)
 		if err != nil {
 			return x
@@ -101,9 +102,9 @@
 		s.conn = conn
 	}
 	s.conn.send(s.newRequest(ctx, x.attempt), &x)
-	x.stopped = s.world.stoppedAt(x.node)
-	if x.last || !s.keeps {
-		s.hangUp()
+	x.stoppedAt = s.deployment.lastSIGTERM(x.node)
+	if x.connectionClose || !s.keepAlive {
+		s.closeConnection()
 	}
 	return x
 }
@@ -114,15 +115,15 @@
 		method = http.MethodGet
 	}
 	r, err := platformtest.NewRequest(ctx, method, s.conn.node.settings.Callers, "/"+a.kind+"/x", nil, platformtest.Ask{
-		ID: a.id, Key: stableKey, Model: "m0", Patience: platformtest.RouteTimeout, Prompt: 100, Answer: a.events * longEventTokens,
+		ID: a.id, Key: stableKey, Model: "m0", Patience: platformtest.RouteTimeout, Prompt: 100, Answer: a.events * stopsEventTokens,
 	})
 	if err != nil {
-		panic(err) // all its parts are constant
+		panic(err) // all parts of the request are constant
 	}
 	return r
 }
 
-func (s *session) hangUp() {
+func (s *session) closeConnection() {
 	if s.conn != nil {
 		s.conn.close()
 		s.conn = nil
--- a/soak/stops.go
+++ b/soak/stops.go
@@ -12,81 +12,81 @@
 
 // Times of planned stops.
 const (
-	// stopGap is shorter than a stop, so that several overlap.
-	stopGap    = 2 * time.Second
-	startPause = 500 * time.Millisecond // between a node's end and its next start
+	// stopInterval is shorter than a stop takes, so that several stops overlap.
+	stopInterval = 2 * time.Second
+	startDelay   = 500 * time.Millisecond // between a node's exit and its next start
 )
 
-// playStops stops nodes in series while sessions ask, and checks that no
-// request is cut off.
-func (w *world) playStops(ctx context.Context, report *Report) error {
-	p := &promise{}
-	asking := kernel.NewGroup(ctx)
-	b := newBalancer(w.nodes)
-	b.start(asking)
-	for i := range sessions {
-		s := newSession(w, b, p, i)
-		asking.Go(s.name, s.run)
+// runStops stops nodes one after another while sessions send requests, and checks that
+// no request is cut off.
+func (d *deployment) runStops(ctx context.Context, report *Report) error {
+	c := &stopChecker{}
+	sessionGroup := kernel.NewGroup(ctx)
+	b := newBalancer(d.nodes)
+	b.start(sessionGroup)
+	for i := range sessionCount {
+		s := newSession(d, b, c, i)
+		sessionGroup.Go(s.name, s.run)
 	}
-	if err := w.stopInSeries(ctx, p); err != nil {
+	if err := d.stopNodesInTurn(ctx, c); err != nil {
 		return err
 	}
-	asking.Stop()
-	if err := asking.Wait(); err != nil {
+	sessionGroup.Stop()
+	if err := sessionGroup.Wait(); err != nil {
 		return err
 	}
-	p.close(w.ledger, report)
+	c.finish(d.runs, report)
 	return nil
 }
 
-// stopInSeries stops each node in turn, round after round, until the run's
-// length is over, and waits until all have started again.
-func (w *world) stopInSeries(ctx context.Context, p *promise) error {
+// stopNodesInTurn stops the nodes in turn, repeatedly, for the configured length, and
+// waits until all have started again.
+func (d *deployment) stopNodesInTurn(ctx context.Context, c *stopChecker) error {
 	g := kernel.NewGroup(ctx)
-	order := w.random.Perm(len(w.nodes))
-	end := time.Now().Add(w.config.Length)
+	order := d.random.Perm(len(d.nodes))
+	end := time.Now().Add(d.config.Length)
 	for i := 0; time.Now().Before(end) && ctx.Err() == nil; i++ {
-		n := w.nodes[order[i%len(order)]]
-		g.Go("stop "+n.settings.Node, func(ctx context.Context) error { return w.stopAndStart(ctx, p, n) })
-		kernel.Sleep(ctx, stopGap)
+		n := d.nodes[order[i%len(order)]]
+		g.Go("stop "+n.settings.Node, func(ctx context.Context) error { return d.restartGracefully(ctx, c, n) })
+		kernel.Sleep(ctx, stopInterval)
 	}
 	return g.Wait()
 }
 
-// stopAndStart stops a node as the platform does. A node that outlasts its grace
-// is killed, which breaks the promise also where it cuts no request. A node that
-// a stop of the round before still holds is left alone.
-func (w *world) stopAndStart(ctx context.Context, p *promise, n *nodeProcess) error {
-	if !w.beginStop(n, time.Now()) {
+// restartGracefully stops a node as the platform does and starts it again. A node that
+// does not exit within its grace period is killed; this is a violation even if it cuts
+// off no request. A node whose previous stop has not finished yet is skipped.
+func (d *deployment) restartGracefully(ctx context.Context, c *stopChecker, n *nodeProcess) error {
+	if !d.beginStop(n, time.Now()) {
 		return nil
 	}
-	defer w.unclaim(n)
-	w.note("%s gets SIGTERM", n.settings.Node)
-	err := w.set.StopWithin(n.running, platformtest.Grace)
+	defer d.releaseNode(n)
+	d.recordFault("%s gets SIGTERM", n.settings.Node)
+	err := d.processes.StopWithin(n.proc, platformtest.Grace)
 	switch {
 	case errors.Is(err, process.ErrKilled):
-		w.note("%s gets SIGKILL", n.settings.Node)
-		p.outlasted(n)
+		d.recordFault("%s gets SIGKILL", n.settings.Node)
+		c.recordKilled(n)
 	case err != nil:
 		return err
 	}
-	kernel.Sleep(ctx, startPause)
-	return w.restart(n)
+	kernel.Sleep(ctx, startDelay)
+	return d.restart(n)
 }
 
-func (w *world) beginStop(n *nodeProcess, now time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if n.busy {
+func (d *deployment) beginStop(n *nodeProcess, now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if n.reserved {
 		return false
 	}
-	n.busy, n.stopped = true, now
+	n.reserved, n.stoppedAt = true, now
 	return true
 }
 
-// stoppedAt returns when a node last got SIGTERM, or the zero time.
-func (w *world) stoppedAt(n *nodeProcess) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return n.stopped
+// lastSIGTERM returns when a node last got SIGTERM, or the zero time.
+func (d *deployment) lastSIGTERM(n *nodeProcess) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return n.stoppedAt
 }
--- a/soak/world.go
+++ b/soak/world.go
@@ -1,6 +1,6 @@
-// Package soak runs real nodes as separate processes before stand-ins of the
-// users' platform, injects faults from outside them, and checks what callers
-// and endpoints see.
+// Package soak runs real nodes as separate processes against stand-ins of the
+// users' platform, injects faults from outside the processes, and checks the
+// responses to callers and the requests at endpoints.
 package soak
 
 import (
@@ -20,79 +20,81 @@
 	"redwinghall/standin/process"
 )
 
-// Sizes of the deployment, which a few dozen connections keep busy.
+// Sizes of the deployment, chosen so that a few dozen connections keep it busy.
 const (
-	enginesPerZone = 5 // groups of two, and a spare
-	desksPerZone   = 2
-	answerEvents   = 12
-	eventPause     = 15 * time.Millisecond
-	joinTime       = 40 * time.Millisecond
-	stableKey      = "key-kept"
-	withdrawnKey   = "key-withdrawn"
-	linkHost       = "127.0.0.1"
+	enginesPerZone       = 5 // groups of two, and a spare
+	plainServicesPerZone = 2
+	responseEvents       = 12
+	eventInterval        = 15 * time.Millisecond
+	joinDuration         = 40 * time.Millisecond
+	stableKey            = "key-kept"
+	withdrawnKey         = "key-withdrawn"
+	linkHost             = "127.0.0.1"
 )
 
-// Config says what a run does.
+// Config describes a run.
 type Config struct {
 	Seed uint64
-	// Bin is the folder with the node's program, Dir one for settings and logs.
+	// Bin is the directory of the node program, Dir that of settings and logs.
 	Bin, Dir string
-	// Plan says what happens; empty is PlanFaults.
+	// Plan is what the run does; empty means PlanFaults.
 	Plan Plan
-	// Length is how long faults or stops come; a quiet time follows faults.
+	// Length is how long faults or stops are started; a phase without faults follows
+	// PlanFaults.
 	Length time.Duration
-	// Host is a loopback address of this run's own.
+	// Host is the prefix of the run's loopback addresses, such as "127.10.1."; runs at the
+	// same time need different ones.
 	Host string
-	// Nodes is how many processes run.
+	// Nodes is the number of node processes.
 	Nodes int
 }
 
-// Plan names what happens in a run.
+// Plan is the kind of a run.
 type Plan string
 
 // Plans of a run.
 const (
-	// PlanFaults mixes random faults of all parts.
+	// PlanFaults injects random faults into nodes, links, endpoints and the store.
 	PlanFaults Plan = "faults"
-	// PlanStops only stops nodes, as planned by operators, in series.
+	// PlanStops only stops nodes, one after another, as operators do.
 	PlanStops Plan = "stops"
 )
 
-// nodeProcess is one node, its settings and its link to the store.
+// nodeProcess is a node with its settings and its link to the store.
 type nodeProcess struct {
-	settings platformtest.NodeSettings
-	path     string
-	toStore  *link.Link
-	running  *process.Process
-	busy     bool // a fault that ends and starts it is under way
-	// stopped is when it last got SIGTERM in a planned stop.
-	stopped time.Time
+	settings  platformtest.NodeSettings
+	path      string
+	storeLink *link.Link
+	proc      *process.Process
+	reserved  bool // a fault or planned stop controls the process
+	// stoppedAt is when the node last got SIGTERM in a planned stop.
+	stoppedAt time.Time
 }
 
-// world is the whole deployment of one run.
-type world struct {
-	config Config
-	random *rand.Rand
-	group  *kernel.Group
-	store  *platformtest.Store
-	ledger *platformtest.Ledger
-	set    *process.Set
-
-	mu        sync.Mutex
-	nodes     []*nodeProcess
-	endpoints []*liveEndpoint
-	ended     []*liveEndpoint
-	made      int
-	version   int
-	faults    []string
-	// disturbed is when a fault of a node last ended.
-	disturbed time.Time
-	// mistakes are what faults themselves found wrong.
-	mistakes []string
+// deployment is the complete deployment of one run.
+type deployment struct {
+	config    Config
+	random    *rand.Rand
+	group     *kernel.Group
+	store     *platformtest.Store
+	runs      *platformtest.Ledger
+	processes *process.Set
+
+	mu              sync.Mutex
+	nodes           []*nodeProcess
+	endpoints       []*linkedEndpoint
+	closedEndpoints []*linkedEndpoint
+	endpointCount   int
+	configVersion   int
+	faults          []string
+	// lastNodeFault is when a fault or planned stop of a node last ended.
+	lastNodeFault time.Time
+	// violations are those that faults detected.
+	violations []string
 }
 
-// liveEndpoint is an endpoint with the link that stands before it.
-type liveEndpoint struct {
+// linkedEndpoint is an endpoint and the link through which nodes reach it.
+type linkedEndpoint struct {
 	config   platformtest.EndpointConfig
 	endpoint *platformtest.Endpoint
 	link     *link.Link
@@ -100,112 +102,112 @@
 
 var zones = []string{"a", "b"}
 
-func newWorld(config Config) (*world, error) {
-	w := &world{
+func newDeployment(config Config) (*deployment, error) {
+	d := &deployment{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, 7)), group: kernel.NewGroup(context.Background()),
-		store: platformtest.NewStore(), ledger: platformtest.NewLedger(), set: process.NewSet(config.Bin, config.Dir), version: 1,
+		store: platformtest.NewStore(), runs: platformtest.NewLedger(), processes: process.NewSet(config.Bin, config.Dir), configVersion: 1,
 	}
-	if err := w.store.Put("op", "config", platformtest.Configuration(1, stableKey, withdrawnKey)); err != nil {
+	if err := d.store.Put("op", "config", platformtest.Configuration(1, stableKey, withdrawnKey)); err != nil {
 		return nil, err
 	}
 	for _, zone := range zones {
 		for range enginesPerZone {
-			if err := w.addEndpoint("llm", zone); err != nil {
+			if err := d.addEndpoint("llm", zone); err != nil {
 				return nil, err
 			}
 		}
-		for range desksPerZone {
-			if err := w.addEndpoint("desk", zone); err != nil {
+		for range plainServicesPerZone {
+			if err := d.addEndpoint("desk", zone); err != nil {
 				return nil, err
 			}
 		}
 	}
 	for i := range config.Nodes {
-		if err := w.addNode(i); err != nil {
+		if err := d.addNode(i); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return d, nil
 }
 
-func (w *world) close() {
-	w.mu.Lock()
-	for _, n := range w.nodes {
-		_ = n.running.Thaw() // a frozen process could not end
+func (d *deployment) stop() {
+	d.mu.Lock()
+	for _, n := range d.nodes {
+		_ = n.proc.Thaw() // a frozen process could not exit
 	}
-	w.mu.Unlock()
-	w.set.KillAll()
-	for _, e := range w.endpoints {
+	d.mu.Unlock()
+	d.processes.KillAll()
+	for _, e := range d.endpoints {
 		e.endpoint.Close()
 	}
-	w.group.Stop()
-	_ = w.group.Wait() // links end with errors of closed connections
-	w.store.Close()
+	d.group.Stop()
+	_ = d.group.Wait() // links end with errors of closed connections
+	d.store.Close()
 }
 
-func (w *world) addEndpoint(service, zone string) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.made++
-	live := &liveEndpoint{config: platformtest.EndpointConfig{
-		ID: fmt.Sprintf("%s-%s-%d", service, zone, w.made), Service: service, Zone: zone, Engine: service == "llm",
-		Join: joinTime, Event: eventPause, Events: answerEvents,
+func (d *deployment) addEndpoint(service, zone string) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.endpointCount++
+	linked := &linkedEndpoint{config: platformtest.EndpointConfig{
+		ID: fmt.Sprintf("%s-%s-%d", service, zone, d.endpointCount), Service: service, Zone: zone, Engine: service == "llm",
+		Join: joinDuration, Event: eventInterval, Events: responseEvents,
 	}}
-	if w.config.Plan == PlanStops {
-		live.config.Event, live.config.EventTokens, live.config.Work = longEventPause, longEventTokens, deskWork
+	if d.config.Plan == PlanStops {
+		linked.config.Event, linked.config.EventTokens, linked.config.Work = stopsEventInterval, stopsEventTokens, deskServiceTime
 	}
 	if service == "llm" {
-		live.config.Domain = "domain-" + zone
+		linked.config.Domain = "domain-" + zone
 	}
-	live.config.Front = func(address string) (string, error) {
-		l, err := link.New(w.group, net.JoinHostPort(linkHost, "0"), address)
-		live.link = l
+	linked.config.Front = func(address string) (string, error) {
+		l, err := link.New(d.group, net.JoinHostPort(linkHost, "0"), address)
+		linked.link = l
 		if err != nil {
 			return "", err
 		}
 		return l.Address(), nil
 	}
-	e, err := platformtest.NewEndpoint(live.config, w.store, w.ledger)
-	live.endpoint = e
-	w.endpoints = append(w.endpoints, live)
+	e, err := platformtest.NewEndpoint(linked.config, d.store, d.runs)
+	linked.endpoint = e
+	d.endpoints = append(d.endpoints, linked)
 	return err
 }
 
-func (w *world) addNode(i int) error {
-	toStore, err := link.New(w.group, net.JoinHostPort(linkHost, "0"), w.store.Address())
+func (d *deployment) addNode(i int) error {
+	storeLink, err := link.New(d.group, net.JoinHostPort(linkHost, "0"), d.store.Address())
 	if err != nil {
 		return err
 	}
-	host := fmt.Sprintf("%s%d", w.config.Host, i+1)
-	n := &nodeProcess{toStore: toStore, path: filepath.Join(w.config.Dir, fmt.Sprintf("node-%d.conf", i)), settings: platformtest.NodeSettings{
+	host := fmt.Sprintf("%s%d", d.config.Host, i+1)
+	n := &nodeProcess{storeLink: storeLink, path: filepath.Join(d.config.Dir, fmt.Sprintf("node-%d.conf", i)), settings: platformtest.NodeSettings{
 		Node: fmt.Sprintf("node-%d", i), Zone: zones[i%len(zones)], Zones: zones, IP: host,
-		Callers: net.JoinHostPort(host, "8300"), Readiness: net.JoinHostPort(host, "8301"), Internal: 8310, Store: toStore.Address(),
+		Callers: net.JoinHostPort(host, "8300"), Readiness: net.JoinHostPort(host, "8301"), Internal: 8310, Store: storeLink.Address(),
 	}}
 	if err := os.WriteFile(n.path, []byte(n.settings.Text()), 0o600); err != nil {
 		return err
 	}
-	w.nodes = append(w.nodes, n)
-	return w.startNode(n)
+	d.nodes = append(d.nodes, n)
+	return d.startNode(n)
 }
 
-func (w *world) startNode(n *nodeProcess) error {
-	p, err := w.set.Start(n.settings.Node, "node", "--settings", n.path)
-	n.running = p
+func (d *deployment) startNode(n *nodeProcess) error {
+	p, err := d.processes.Start(n.settings.Node, "node", "--settings", n.path)
+	n.proc = p
 	return err
 }
 
-// note keeps what was done, for the report of a run that fails.
-func (w *world) note(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults = append(w.faults, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
+// recordFault records a fault or stop with its time, for the report of a failed run.
+func (d *deployment) recordFault(format string, args ...any) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.faults = append(d.faults, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// pick returns a random number below n; runs of one seed draw alike.
-func (w *world) pick(n int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.random.IntN(n)
+// randomInt returns a random number below n from the generator of the run's seed.
+func (d *deployment) randomInt(n int) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.random.IntN(n)
 }
 
-func (w *world) nodeName(i int) string { return "node-" + strconv.Itoa(i) }
+func (d *deployment) nodeName(i int) string { return "node-" + strconv.Itoa(i) }
