--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,4 +1,5 @@
-// Command soak runs real nodes under random faults and checks what callers see.
+// Command soak runs real nodes under random faults or planned stops and checks the
+// responses that callers receive.
 package main
 
 import (
@@ -15,27 +16,27 @@
 	"redwinghall/soak"
 )
 
-const help = `Starts nodes as separate processes before stand-ins of the platform, injects
-random faults from outside, and checks what callers and endpoints see. Logs of
-a run that fails stay in its folder.
+const help = `Starts nodes as separate processes against stand-ins of the platform, injects
+random faults from outside the processes, and checks the responses to callers and
+the requests at endpoints. The directory of a failed run, with its logs, is kept.
 
 Plans:
   faults  random faults of nodes, links, endpoints and the store
-  stops   no fault at all: operators stop nodes one after another, sooner than
-          a stop ends, and start each again; streams last for seconds. No
-          request may be cut off, and nine of ten must be served in the end.
+  stops   no faults: operators stop nodes one after another, each before the
+          previous stop has ended, and start each again; streams last for seconds.
+          No request may be cut off, and nine of ten must be served in the end.
 
 Examples:
   soak --bin bin --seed 1 --seeds 50 --length 30s
   soak --bin bin --plan stops --nodes 12 --length 60s
 
-Exit codes: 0 nothing was wrong, 1 something was, 2 wrong usage.`
+Exit codes: 0 no violation, 1 violations or a failed run, 2 wrong usage.`
 
 // Exit codes.
 const (
-	exitDone  = 0
-	exitWrong = 1
-	exitUsage = 2
+	exitDone   = 0
+	exitFailed = 1
+	exitUsage  = 2
 )
 
 type options struct {
@@ -65,27 +66,28 @@
 		return exitDone
 	}
 	if err != nil || o.Nodes < 1 || o.Nodes > 50 || o.Seeds < 1 || o.Length <= 0 {
-		_, _ = fmt.Fprintf(errOut, "soak: %v; want 1 to 50 nodes, a seed or more, and a length above 0\n", err)
+		_, _ = fmt.Fprintf(errOut, "soak: %v; want 1 to 50 nodes, at least one seed, and a length above 0\n", err)
 		return exitUsage
 	}
 	code := exitDone
 	for i := range o.Seeds {
-		if !playSeed(o, o.Seed+uint64(i), out, errOut) { //nolint:gosec // few seeds
-			code = exitWrong
+		if !runSeed(o, o.Seed+uint64(i), out, errOut) { //nolint:gosec // few seeds
+			code = exitFailed
 		}
 	}
 	return code
 }
 
-// playSeed plays one seed and prints a line on it, and all that was wrong.
-func playSeed(o options, seed uint64, out, errOut io.Writer) bool {
-	dir, err := runFolder(o.Dir, seed)
+// runSeed runs the plan with one seed and prints a summary line and, if there were
+// violations, each of them, the faults, and the directory of the logs.
+func runSeed(o options, seed uint64, out, errOut io.Writer) bool {
+	dir, err := runDir(o.Dir, seed)
 	if err != nil {
 		_, _ = fmt.Fprintln(errOut, err)
 		return false
 	}
 	report, err := soak.Run(context.Background(), soak.Config{
-		Seed: seed, Bin: o.Bin, Dir: dir, Plan: soak.Plan(o.Plan), Length: o.Length, Nodes: o.Nodes, Host: hostOf(seed),
+		Seed: seed, Bin: o.Bin, Dir: dir, Plan: soak.Plan(o.Plan), Length: o.Length, Nodes: o.Nodes, Host: hostPrefix(seed),
 	})
 	if err != nil {
 		_, _ = fmt.Fprintf(errOut, "seed %d: %v\n", seed, err)
@@ -106,7 +108,7 @@
 	return false
 }
 
-func runFolder(base string, seed uint64) (string, error) {
+func runDir(base string, seed uint64) (string, error) {
 	if base == "" {
 		return os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	}
@@ -114,8 +116,8 @@
 	return dir, os.MkdirAll(dir, 0o750)
 }
 
-// hostOf returns the start of the loopback addresses of a run: runs at the same
-// time don't meet.
-func hostOf(seed uint64) string {
+// hostPrefix returns the prefix of a run's loopback addresses. It depends on the process ID
+// and the seed, so that concurrent runs rarely use the same addresses.
+func hostPrefix(seed uint64) string {
 	return fmt.Sprintf("127.%d.%d.", 10+os.Getpid()%100, seed%250)
 }
