--- a/admit/gate.go
+++ b/admit/gate.go
@@ -34,22 +34,22 @@
 
 // Gate lets requests through while its source has room, and queues the rest.
 type Gate[T any] struct {
-	mu      sync.Mutex
-	source  func() (T, bool) // takes one unit of room
-	queues  map[string]*queue[T]
-	waiting int
-	virtual float64
+	mu          sync.Mutex
+	acquireSlot func() (T, bool) // takes one unit of room
+	queues      map[string]*queue[T]
+	waiting     int
+	virtualTime float64
 	// lastGrant is when a waiting request was last let through; zero while
 	// nobody waits. Only intervals between such grants tell the service rate:
 	// with nobody waiting they tell how often requests arrive.
-	lastGrant time.Time
-	perGrant  time.Duration
+	lastGrant     time.Time
+	grantInterval time.Duration
 }
 
 type queue[T any] struct {
-	weight  float64
-	finish  float64 // virtual time at which its next request is due
-	waiters []*waiter[T]
+	weight     float64
+	finishTime float64 // virtual time at which its next request is due
+	waiters    []*waiter[T]
 }
 
 type waiter[T any] struct {
@@ -59,33 +59,33 @@
 
 // NewGate returns a gate over a source of room. source must not block.
 func NewGate[T any](source func() (T, bool)) *Gate[T] {
-	return &Gate[T]{source: source, queues: map[string]*queue[T]{}}
+	return &Gate[T]{acquireSlot: source, queues: map[string]*queue[T]{}}
 }
 
 // Enter returns one unit of room, or a refusal. It waits no longer than ctx,
 // and refuses at once when the queue is full or when the wait seen lately is
 // longer than the time that the request has left.
 func (g *Gate[T]) Enter(ctx context.Context, now time.Time, account redwinghall.ClientAccount) (T, error) {
-	var none T
+	var zero T
 	g.mu.Lock()
 	if g.waiting == 0 {
-		if room, ok := g.source(); ok {
+		if room, ok := g.acquireSlot(); ok {
 			g.mu.Unlock()
 			return room, nil
 		}
 	}
-	q := g.queueOf(account)
+	q := g.queueFor(account)
 	if len(q.waiters) >= account.MaxQueued {
 		g.mu.Unlock()
-		return none, redwinghall.NewOpError("Gate.Enter", QueueFull, nil)
+		return zero, redwinghall.NewOpError("Gate.Enter", QueueFull, nil)
 	}
 	if deadline, ok := ctx.Deadline(); ok && g.expectedWait(now, q) > deadline.Sub(now) {
 		g.mu.Unlock()
-		return none, redwinghall.NewOpError("Gate.Enter", DeadlineTooShort, nil)
+		return zero, redwinghall.NewOpError("Gate.Enter", DeadlineTooShort, nil)
 	}
 	w := &waiter[T]{done: make(chan T, 1)}
 	if len(q.waiters) == 0 {
-		q.finish = max(q.finish, g.virtual) + 1/q.weight
+		q.finishTime = max(q.finishTime, g.virtualTime) + 1/q.weight
 	}
 	q.waiters = append(q.waiters, w)
 	g.waiting++
@@ -124,7 +124,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for g.waiting > 0 {
-		room, ok := g.source()
+		room, ok := g.acquireSlot()
 		if !ok {
 			return
 		}
@@ -136,11 +136,11 @@
 	w := q.waiters[0]
 	q.waiters = q.waiters[1:]
 	g.waiting--
-	g.virtual = q.finish
+	g.virtualTime = q.finishTime
 	if len(q.waiters) > 0 {
-		q.finish += 1 / q.weight
+		q.finishTime += 1 / q.weight
 	}
-	g.noteGrant(now)
+	g.recordGrant(now)
 	w.granted = true
 	w.done <- room
 }
@@ -149,7 +149,7 @@
 func (g *Gate[T]) next() *queue[T] {
 	var best *queue[T]
 	for _, q := range g.queues {
-		if len(q.waiters) > 0 && (best == nil || q.finish < best.finish) {
+		if len(q.waiters) > 0 && (best == nil || q.finishTime < best.finishTime) {
 			best = q
 		}
 	}
@@ -168,10 +168,10 @@
 func (g *Gate[T]) RetryAfter(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return max(time.Second, g.interval(now)*time.Duration(g.waiting))
+	return max(time.Second, g.currentInterval(now)*time.Duration(g.waiting))
 }
 
-func (g *Gate[T]) queueOf(account redwinghall.ClientAccount) *queue[T] {
+func (g *Gate[T]) queueFor(account redwinghall.ClientAccount) *queue[T] {
 	key := account.ID + "/" + string(account.Class)
 	q, ok := g.queues[key]
 	if !ok {
@@ -195,26 +195,26 @@
 		}
 	}
 	ahead := min(float64(len(q.waiters)+1)*total/q.weight, float64(g.waiting+1))
-	return time.Duration(ahead * float64(g.interval(now)))
+	return time.Duration(ahead * float64(g.currentInterval(now)))
 }
 
-// interval is the mean time between grants lately; zero while unknown, so
+// currentInterval is the mean time between grants lately; zero while unknown, so
 // that nothing is refused on a guess. A pause that is longer than the mean
 // counts as it is: groups may have stopped taking work.
-func (g *Gate[T]) interval(now time.Time) time.Duration {
-	if g.lastGrant.IsZero() || g.perGrant == 0 {
-		return g.perGrant
+func (g *Gate[T]) currentInterval(now time.Time) time.Duration {
+	if g.lastGrant.IsZero() || g.grantInterval == 0 {
+		return g.grantInterval
 	}
-	return max(g.perGrant, now.Sub(g.lastGrant))
+	return max(g.grantInterval, now.Sub(g.lastGrant))
 }
 
-func (g *Gate[T]) noteGrant(now time.Time) {
+func (g *Gate[T]) recordGrant(now time.Time) {
 	if !g.lastGrant.IsZero() {
 		sample := now.Sub(g.lastGrant)
-		if g.perGrant == 0 {
-			g.perGrant = sample
+		if g.grantInterval == 0 {
+			g.grantInterval = sample
 		}
-		g.perGrant += time.Duration(smoothing * float64(sample-g.perGrant))
+		g.grantInterval += time.Duration(smoothing * float64(sample-g.grantInterval))
 	}
 	g.lastGrant = now
 	if g.waiting == 0 {
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -13,10 +13,10 @@
 	"redwinghall/kernel"
 )
 
-// room is a source with a number of units.
-type room struct{ free int }
+// slots is a source with a number of units.
+type slots struct{ free int }
 
-func (r *room) take() (int, bool) {
+func (r *slots) take() (int, bool) {
 	if r.free == 0 {
 		return 0, false
 	}
@@ -28,8 +28,8 @@
 	return redwinghall.ClientAccount{ID: id, Class: redwinghall.ClassInteractive, Weight: weight, MaxQueued: queued}
 }
 
-// waiters enters count requests of an account and notes who gets through.
-func waiters(g *kernel.Group, gate *admit.Gate[int], a redwinghall.ClientAccount, count int, order *[]string) {
+// startWaiters enters count requests of an account and notes who gets through.
+func startWaiters(g *kernel.Group, gate *admit.Gate[int], a redwinghall.ClientAccount, count int, order *[]string) {
 	for range count {
 		g.Go("enter", func(ctx context.Context) error {
 			_, err := gate.Enter(ctx, time.Now(), a)
@@ -41,8 +41,8 @@
 	}
 }
 
-// let frees one unit and waits until it is used.
-func let(gate *admit.Gate[int], r *room) {
+// freeSlot frees one unit and waits until it is used.
+func freeSlot(gate *admit.Gate[int], r *slots) {
 	r.free++
 	gate.Wake(time.Now())
 	synctest.Wait()
@@ -53,16 +53,16 @@
 // Cause: one queue for all, first in, first out.
 func TestFloodingAccountDoesNotStarveAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		g := kernel.NewGroup(t.Context())
 		var order []string
-		waiters(g, gate, account("flood", 1, 1000), 100, &order)
+		startWaiters(g, gate, account("flood", 1, 1000), 100, &order)
 		synctest.Wait()
-		waiters(g, gate, account("drivers", 1, 1000), 5, &order)
+		startWaiters(g, gate, account("drivers", 1, 1000), 5, &order)
 		synctest.Wait()
 		for range 12 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		count := 0
 		for _, id := range order {
@@ -72,7 +72,7 @@
 		}
 		require.Equal(t, 5, count, "%v", order)
 		for range 93 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		require.NoError(t, g.Wait())
 	})
@@ -80,15 +80,15 @@
 
 func TestWeightsShareTheRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		g := kernel.NewGroup(t.Context())
 		var order []string
-		waiters(g, gate, account("heavy", 3, 1000), 40, &order)
-		waiters(g, gate, account("light", 1, 1000), 40, &order)
+		startWaiters(g, gate, account("heavy", 3, 1000), 40, &order)
+		startWaiters(g, gate, account("light", 1, 1000), 40, &order)
 		synctest.Wait()
 		for range 40 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		heavy := 0
 		for _, id := range order {
@@ -98,7 +98,7 @@
 		}
 		require.InDelta(t, 30, heavy, 1)
 		for range 40 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		require.NoError(t, g.Wait())
 	})
@@ -106,11 +106,11 @@
 
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		g := kernel.NewGroup(t.Context())
 		var order []string
-		waiters(g, gate, account("a", 1, 3), 3, &order)
+		startWaiters(g, gate, account("a", 1, 3), 3, &order)
 		synctest.Wait()
 		_, err := gate.Enter(t.Context(), time.Now(), account("a", 1, 3))
 		require.Equal(t, admit.QueueFull, redwinghall.KindOf[admit.Kind](err))
@@ -121,7 +121,7 @@
 		require.Equal(t, admit.DeadlinePassed, redwinghall.KindOf[admit.Kind](err))
 		require.Equal(t, 3, gate.Waiting(), "who gave up does not wait")
 		for range 3 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		require.NoError(t, g.Wait())
 	})
@@ -132,16 +132,16 @@
 // queues behind ten others. Cause: nobody compared the wait with the time left.
 func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		g := kernel.NewGroup(t.Context())
 		var order []string
 		a := account("a", 1, 1000)
-		waiters(g, gate, a, 20, &order)
+		startWaiters(g, gate, a, 20, &order)
 		synctest.Wait()
 		for range 5 {
 			time.Sleep(time.Second)
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
@@ -151,7 +151,7 @@
 		require.Equal(t, before, time.Now(), "at once")
 		require.GreaterOrEqual(t, gate.RetryAfter(before), 10*time.Second)
 		for range 15 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		require.NoError(t, g.Wait())
 	})
@@ -161,7 +161,7 @@
 // were rare before.
 func TestQuietTimesSayNothingOfTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		a := account("a", 1, 10)
 		for range 50 {
@@ -178,7 +178,7 @@
 			return err
 		})
 		synctest.Wait()
-		let(gate, r)
+		freeSlot(gate, r)
 		require.NoError(t, g.Wait())
 	})
 }
@@ -189,12 +189,12 @@
 // others wait. Cause: the hour counted as the time that one request takes.
 func TestWhoGivesUpLeavesNoTrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		a := account("a", 1, 100)
 		g := kernel.NewGroup(t.Context())
 		var order []string
-		waiters(g, gate, a, 2, &order)
+		startWaiters(g, gate, a, 2, &order)
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
@@ -206,17 +206,17 @@
 		synctest.Wait()
 		for range 2 {
 			time.Sleep(time.Second)
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		require.NoError(t, g.Wait())
 		time.Sleep(time.Hour)
 
 		g = kernel.NewGroup(t.Context())
-		waiters(g, gate, a, 2, &order)
+		startWaiters(g, gate, a, 2, &order)
 		synctest.Wait()
-		let(gate, r)
+		freeSlot(gate, r)
 		require.Less(t, gate.RetryAfter(time.Now()), 5*time.Second)
-		let(gate, r)
+		freeSlot(gate, r)
 		require.NoError(t, g.Wait())
 	})
 }
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -14,8 +14,8 @@
 
 const benchEvents = 400
 
-// processor returns the processor time that this process has used.
-func processor(b *testing.B) time.Duration {
+// cpuTime returns the cpuTime time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
@@ -29,10 +29,10 @@
 func BenchmarkEvent(b *testing.B) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
-	s := newSite(b)
+	s := newFixture(b)
 	endpoint := s.endpoint("e1", "llm", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, benchEvents)
+		writeEvents(w, 1, benchEvents)
 	})
 	bare := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		copyStream(b, w, endpoint.URL, r)
@@ -40,13 +40,13 @@
 	b.Cleanup(bare.Close)
 	for name, address := range map[string]string{"copied": bare.Listener.Addr().String(), "relayed": s.server.Listener.Addr().String()} {
 		b.Run(name, func(b *testing.B) {
-			before := processor(b)
+			before := cpuTime(b)
 			for range b.N {
 				r := s.request(http.MethodPost, "/stream/")
 				r.URL.Host = address
 				require.Len(b, s.do(r).body, len(wholeStream(benchEvents)))
 			}
-			b.ReportMetric(float64((processor(b)-before).Nanoseconds())/float64(b.N*benchEvents), "processor-ns/event")
+			b.ReportMetric(float64((cpuTime(b)-before).Nanoseconds())/float64(b.N*benchEvents), "processor-ns/event")
 		})
 	}
 }
--- a/gateway/call_times.go
+++ b/gateway/call_times.go
@@ -15,23 +15,23 @@
 func newCallTimes() *callTimes { return &callTimes{byRoute: map[string]time.Duration{}} }
 
 const (
-	// callTimesForget is the part of a longest call that each shorter one takes
+	// callTimesDecay is the part of a longest call that each shorter one takes
 	// away: a route that has become faster is believed after some dozens.
-	callTimesForget = 64
-	// callTimesRoutes bounds how many routes are remembered: configurations may
+	callTimesDecay = 64
+	// maxCallTimeRoutes bounds how many routes are remembered: configurations may
 	// bring new names for good.
-	callTimesRoutes = 1000
+	maxCallTimeRoutes = 1000
 )
 
-// note takes in how long a call took, from its request to its whole answer.
-func (c *callTimes) note(route string, took time.Duration) {
+// record takes in how long a call took, from its request to its whole answer.
+func (c *callTimes) record(route string, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	longest, known := c.byRoute[route]
-	if !known && len(c.byRoute) >= callTimesRoutes {
+	if !known && len(c.byRoute) >= maxCallTimeRoutes {
 		clear(c.byRoute)
 	}
-	c.byRoute[route] = max(took, longest-longest/callTimesForget)
+	c.byRoute[route] = max(took, longest-longest/callTimesDecay)
 }
 
 // longest returns how long the longest calls of a route take, 0 if none was seen.
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -9,13 +9,13 @@
 
 // Bounds of one event of a stream.
 const (
-	eventBuffer  = 4 << 10
-	maxEventSize = 1 << 20
+	initialEventBuffer = 4 << 10
+	maxEventSize       = 1 << 20
 )
 
 var (
-	errEventTooLarge = errors.New("an event is larger than a stream may hold")
-	errHalfEvent     = errors.New("the stream ended inside an event")
+	errEventTooLarge  = errors.New("an event is larger than a stream may hold")
+	errTruncatedEvent = errors.New("the stream ended inside an event")
 )
 
 // eventSplitter cuts a stream into whole events and keeps their bytes as they
@@ -33,7 +33,7 @@
 }
 
 func newEventSplitter(r io.Reader) *eventSplitter {
-	return &eventSplitter{r: r, buf: make([]byte, eventBuffer)}
+	return &eventSplitter{r: r, buf: make([]byte, initialEventBuffer)}
 }
 
 // next returns the bytes of the next whole event, valid until the next call.
@@ -64,7 +64,7 @@
 
 func (s *eventSplitter) finish() error {
 	if errors.Is(s.err, io.EOF) && s.end > s.start {
-		return errHalfEvent
+		return errTruncatedEvent
 	}
 	return s.err
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -74,14 +74,14 @@
 // whether traffic has begun.
 func (g *Gateway) Served() int64 { return g.served.Load() }
 
-// retryUnknown is when a caller may try again while this node knows nothing yet.
-const retryUnknown = 500 * time.Millisecond
+// defaultRetryAfter is when a caller may try again while this node knows nothing yet.
+const defaultRetryAfter = 500 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, in *http.Request) {
 	now := time.Now()
-	g.await(in.Context(), now, g.Book.Configured())
-	request, refusal := g.admit(in, now)
+	g.awaitStartup(in.Context(), now, g.Book.Configured())
+	request, refusal := g.resolve(in, now)
 	if refusal != nil {
 		g.refuse(w, request, *refusal)
 		return
@@ -104,9 +104,9 @@
 	g.servePlain(ctx, w, request)
 }
 
-// admit finds the route, the account and the service of a request. On a
+// resolve finds the route, the account and the service of a request. On a
 // refusal the request is as far as it was read.
-func (g *Gateway) admit(in *http.Request, now time.Time) (*Request, *refusal) {
+func (g *Gateway) resolve(in *http.Request, now time.Time) (*Request, *refusal) {
 	r := &Request{
 		Ask: platform.DecodeAsk(in.Header), Method: in.Method, Host: in.Host, Target: in.RequestURI,
 		Header: in.Header, Arrived: now, view: g.Book.View(),
@@ -115,7 +115,7 @@
 		r.Target = in.URL.RequestURI()
 	}
 	if r.view.Config() == nil {
-		return r, &refusal{status: http.StatusServiceUnavailable, reason: "configuration_unknown", retryAfter: retryUnknown}
+		return r, &refusal{status: http.StatusServiceUnavailable, reason: "configuration_unknown", retryAfter: defaultRetryAfter}
 	}
 	route, ok := r.view.Route(in.Host, in.URL.Path)
 	if !ok {
@@ -129,18 +129,18 @@
 		}
 		r.Account = account
 	}
-	service, ok := r.view.Service(pick(route.Split, r.Ask.ID))
+	service, ok := r.view.Service(pickService(route.Split, r.Ask.ID))
 	if !ok {
-		return r, &refusal{status: http.StatusServiceUnavailable, reason: "service_unknown", retryAfter: retryUnknown}
+		return r, &refusal{status: http.StatusServiceUnavailable, reason: "service_unknown", retryAfter: defaultRetryAfter}
 	}
 	r.Service = service
-	r.withDeadline()
+	r.setDeadline()
 	return r, nil
 }
 
-// pick chooses a service of a split by weight. The same request id gets the
+// pickService chooses a service of a split by weight. The same request id gets the
 // same service on each node.
-func pick(split []fleet.Share, id string) string {
+func pickService(split []fleet.Share, id string) string {
 	total := 0
 	for _, s := range split {
 		total += max(0, s.Weight)
@@ -180,14 +180,14 @@
 	zone := max(1, shares.Zone)
 	// What a cold endpoint bears in any second, with a margin for nodes that
 	// don't know of each other.
-	cold := coldMargin * (r.Service.ColdPerSecond*bounds.ColdOvershoot + bounds.ColdSlack)
+	cold := coldBudgetShare * (r.Service.ColdPerSecond*bounds.ColdOvershoot + bounds.ColdSlack)
 	if shares.Nodes == 0 {
 		cold = 0
 	}
 	ask := balance.Ask{
 		Service: r.Service, Zone: settings.Zone, Prompt: r.Ask.Prompt, Answer: r.Ask.MaxAnswer, Objective: r.Route.Objective, Tried: tried,
 		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, Dispatches: shares.Dispatches,
-		ColdNear: coldNear * cold / float64(zone), ColdFar: (1 - coldNear) * cold / float64(max(1, nodes-zone)),
+		ColdNear: coldZoneShare * cold / float64(zone), ColdFar: (1 - coldZoneShare) * cold / float64(max(1, nodes-zone)),
 		Connections: connectionShare(r.Service.MaxConnections, nodes),
 	}
 	if r.Service.Engine != nil {
@@ -199,8 +199,8 @@
 // How what a cold endpoint bears is shared: most of it by the nodes of its own
 // zone, which send it most requests.
 const (
-	coldMargin = 0.75
-	coldNear   = 0.75
+	coldBudgetShare = 0.75
+	coldZoneShare   = 0.75
 )
 
 // connectionShare is this node's part of the connections that an endpoint
@@ -214,7 +214,7 @@
 
 // mayRetry reports whether a request may go to one more endpoint.
 func (g *Gateway) mayRetry(r *Request, sent int, now time.Time) bool {
-	if sent >= r.Route.MaxAttempts || r.Left(now) < leastLeft {
+	if sent >= r.Route.MaxAttempts || r.Left(now) < minRemaining {
 		return false
 	}
 	slack := 0.0
@@ -224,5 +224,5 @@
 	return g.budget.Spend(now, r.Service.Name, slack)
 }
 
-// leastLeft is the time below which no endpoint can answer any more.
-const leastLeft = 15 * time.Millisecond
+// minRemaining is the time below which no endpoint can answer any more.
+const minRemaining = 15 * time.Millisecond
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -23,14 +23,14 @@
 	"redwinghall/platform/platformtest"
 )
 
-// site is a gateway before stand-in endpoints, over real connections.
-type site struct {
+// fixture is a gateway before stand-in endpoints, over real connections.
+type fixture struct {
 	t       testing.TB
 	book    *directory.Book
 	server  *httptest.Server
 	tracker *balance.Tracker
 	config  *fleet.Configuration
-	placer  placer
+	placer  fakePlacer
 	// stop is the planned stop that is under way; it is set before requests come.
 	stop gateway.Stop
 	// shares is the gateway's part of what all nodes share. Like settings, it is set before
@@ -39,8 +39,8 @@
 	settings fleet.Settings
 }
 
-// placer is what other zones say when they are asked.
-type placer struct {
+// fakePlacer is what other zones say when they are asked.
+type fakePlacer struct {
 	offers map[string]string // endpoints, by zone; a zone without one gives no answer
 	asked  []string
 	// elsewhere is the zone that the dispatcher names where it has no room.
@@ -49,9 +49,9 @@
 	dispatched bool
 }
 
-func (p *placer) Dispatched(time.Time) bool { return p.dispatched }
+func (p *fakePlacer) Dispatched(time.Time) bool { return p.dispatched }
 
-func (p *placer) Place(_ context.Context, zone string, _ fleet.PlacementRequest) (fleet.Placement, bool) {
+func (p *fakePlacer) Place(_ context.Context, zone string, _ fleet.PlacementRequest) (fleet.Placement, bool) {
 	p.asked = append(p.asked, zone)
 	id, ok := p.offers[zone]
 	return fleet.Placement{Endpoint: id, Predicted: 100 * time.Millisecond, Elsewhere: p.elsewhere}, ok
@@ -89,17 +89,17 @@
 	}
 }
 
-func newSite(t testing.TB) *site {
+func newFixture(t testing.TB) *fixture {
 	t.Helper()
-	s := newUnconfigured(t)
+	s := newUnconfiguredFixture(t)
 	s.book.Apply(time.Now(), directory.Change{Config: s.config})
 	return s
 }
 
-// newUnconfigured returns a site whose gateway has just started and has read nothing.
-func newUnconfigured(t testing.TB) *site {
+// newUnconfiguredFixture returns a site whose gateway has just started and has read nothing.
+func newUnconfiguredFixture(t testing.TB) *fixture {
 	t.Helper()
-	s := &site{t: t, book: directory.NewBook(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
+	s := &fixture{t: t, book: directory.NewBook(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
 	s.settings = fleet.Settings{Zone: "a", Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 100}}
 	g := gateway.New(gateway.Options{
 		Settings: func() fleet.Settings { return s.settings }, Book: s.book, Tracker: s.tracker, Upstream: gateway.NewUpstream(),
@@ -112,7 +112,7 @@
 }
 
 // endpoint adds a stand-in endpoint of a service.
-func (s *site) endpoint(id, service string, handler http.HandlerFunc) *httptest.Server {
+func (s *fixture) endpoint(id, service string, handler http.HandlerFunc) *httptest.Server {
 	s.t.Helper()
 	server := httptest.NewServer(handler)
 	s.t.Cleanup(func() {
@@ -123,9 +123,9 @@
 	return server
 }
 
-func (s *site) register(id, service, address string) { s.registerIn("a", id, service, address, 0) }
+func (s *fixture) register(id, service, address string) { s.registerIn("a", id, service, address, 0) }
 
-func (s *site) registerIn(zone, id, service, address string, cold time.Duration) {
+func (s *fixture) registerIn(zone, id, service, address string, cold time.Duration) {
 	e := &fleet.Endpoint{ID: id, Service: service, Address: address, Zone: zone, Cold: cold, SeenAt: time.Now(), State: fleet.EndpointReady, Slots: 6}
 	if service == "llm" {
 		e.Models = []string{"m0"}
@@ -134,7 +134,7 @@
 	s.book.Apply(time.Now(), directory.Change{Endpoint: e})
 }
 
-func (s *site) request(method, path string) *http.Request {
+func (s *fixture) request(method, path string) *http.Request {
 	s.t.Helper()
 	var body io.Reader
 	if method == http.MethodPost {
@@ -147,20 +147,20 @@
 	return r
 }
 
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error // while the body was read
 }
 
-func (s *site) do(r *http.Request) answer {
+func (s *fixture) do(r *http.Request) response {
 	s.t.Helper()
 	out, err := http.DefaultTransport.RoundTrip(r)
 	require.NoError(s.t, err)
 	defer func() { require.NoError(s.t, out.Body.Close()) }()
 	body, err := io.ReadAll(out.Body)
-	return answer{status: out.StatusCode, header: out.Header, body: string(body), err: err}
+	return response{status: out.StatusCode, header: out.Header, body: string(body), err: err}
 }
 
 // sign marks an answer as the endpoint's own.
@@ -168,7 +168,7 @@
 	platformtest.Sign(w, platformtest.Read(r).ID, "sig")
 }
 
-func events(w http.ResponseWriter, from, to int) {
+func writeEvents(w http.ResponseWriter, from, to int) {
 	for i := from; i <= to; i++ {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: word %d\n\n", i, i) // the reader tells what came
 		w.(http.Flusher).Flush()
@@ -184,7 +184,7 @@
 }
 
 func TestPassesRequestsAndAnswers(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	var seen *http.Request
 	var body string
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
@@ -209,7 +209,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	unknown := s.request(http.MethodGet, "/look/")
 	unknown.Header.Set("Authorization", "Bearer other")
 	elsewhere := s.request(http.MethodGet, "/nowhere/")
@@ -235,7 +235,7 @@
 // A node that has just started turns callers away for good: it answers 404 or
 // 401 although it only doesn't know the configuration yet.
 func TestUnknownConfigurationIsNoDenial(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	g := gateway.New(gateway.Options{
 		Settings: func() fleet.Settings { return fleet.Settings{} }, Book: directory.NewBook(), Tracker: balance.NewTracker(),
 		Upstream: gateway.NewUpstream(), Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return gateway.Shares{} },
@@ -254,7 +254,7 @@
 func TestUnsafeRequestIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
 		t.Run(method, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			var runs atomic.Int32
 			broken := func(w http.ResponseWriter, r *http.Request) {
 				if platformtest.Read(r).ID == "warm" {
@@ -279,7 +279,7 @@
 // An endpoint that is gone refuses the connection: nothing was sent, so that
 // also a booking goes on to the next one.
 func TestRefusedConnectionGoesOn(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s.register("gone", "desk", listener.Addr().String())
@@ -301,7 +301,7 @@
 		"silent":   {false, http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 				platformtest.Echo(w, platformtest.Read(r).ID)
 				if c.notRun {
@@ -317,7 +317,7 @@
 // A late second answer of an earlier request comes where the next one is
 // expected. Its caller must not get it.
 func TestAnswerOfAnotherRequestIsNotPassedOn(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, _ *http.Request) {
 		platformtest.Sign(w, "r-0", "sig")
 		_, _ = w.Write([]byte("somebody else's")) // the reader tells what came
@@ -328,7 +328,7 @@
 }
 
 func TestUnsignedSuccessIsNotPassedOn(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 		platformtest.Echo(w, platformtest.Read(r).ID)
 		_, _ = w.Write([]byte("?")) // the reader tells what came
@@ -337,7 +337,7 @@
 }
 
 func TestSafeRequestIsTriedAgain(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	var first atomic.Bool
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
@@ -363,7 +363,7 @@
 		"inside an event": func(w http.ResponseWriter) { _, _ = w.Write([]byte("id: 4\nda")); w.(http.Flusher).Flush() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			var mu sync.Mutex
 			var lasts []string
 			handler := func(w http.ResponseWriter, r *http.Request) {
@@ -373,11 +373,11 @@
 				attempt := len(lasts)
 				mu.Unlock()
 				if attempt == 1 {
-					events(w, 1, 3)
+					writeEvents(w, 1, 3)
 					breakOff(w)
 					panic(http.ErrAbortHandler)
 				}
-				events(w, 3, 6) // one event again, which the caller already has
+				writeEvents(w, 3, 6) // one event again, which the caller already has
 			}
 			s.endpoint("e1", "llm", handler)
 			s.endpoint("e2", "llm", handler)
@@ -391,10 +391,10 @@
 
 // A stream that nobody can finish must not look complete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 2)
+		writeEvents(w, 1, 2)
 		panic(http.ErrAbortHandler)
 	}
 	s.endpoint("e1", "llm", handler)
@@ -407,18 +407,18 @@
 // wait until they leave. After a while without any event the stream goes on at
 // another group.
 func TestStalledGroupIsLeft(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	release := make(chan struct{})
 	defer close(release)
 	var stalledFirst atomic.Bool
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
 		if stalledFirst.CompareAndSwap(false, true) {
-			events(w, 1, 2)
+			writeEvents(w, 1, 2)
 			<-release
 			return
 		}
-		events(w, 3, 4)
+		writeEvents(w, 3, 4)
 	}
 	s.endpoint("e1", "llm", handler)
 	s.endpoint("e2", "llm", handler)
@@ -430,12 +430,12 @@
 // An answer is ended only because it is slow, although nobody else can finish
 // it: a slow answer is worth more than none.
 func TestSlowStreamIsNotEndedWithoutAnAlternative(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.endpoint("e1", "llm", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 		time.Sleep(1500 * time.Millisecond)
-		events(w, 2, 2)
+		writeEvents(w, 2, 2)
 	})
 	got := s.do(s.request(http.MethodPost, "/stream/"))
 	require.NoError(t, got.err)
@@ -445,7 +445,7 @@
 // Two groups refuse a stream as not run: the caller is told so, and not that
 // the outcome is unknown.
 func TestTwoRefusalsAreARefusal(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	busy := func(w http.ResponseWriter, r *http.Request) {
 		platformtest.Echo(w, platformtest.Read(r).ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
@@ -459,11 +459,11 @@
 
 // The caller leaves, and the endpoint works on for nobody.
 func TestCallerLeaves(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	left := make(chan struct{})
 	s.endpoint("e1", "llm", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 		<-r.Context().Done()
 		close(left)
 	})
@@ -484,7 +484,7 @@
 // The route's timeout passes while the endpoint is silent. The caller gets a
 // final answer then, and not when the endpoint has had enough.
 func TestRouteTimeoutEndsTheWait(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.config.Routes[1].Timeout = 100 * time.Millisecond
 	release := make(chan struct{})
 	defer close(release)
@@ -494,7 +494,7 @@
 }
 
 func TestBodyOverTheLimit(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.config.Limits.BodyBytes = 4
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) { sign(w, r) })
 	require.Equal(t, http.StatusRequestEntityTooLarge, s.do(s.request(http.MethodPost, "/book/")).status)
@@ -506,7 +506,7 @@
 	const size = 3 << 20
 	for name, breaks := range map[string]bool{"whole": false, "broken off": true} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 				sign(w, r)
 				_, _ = w.Write(make([]byte, size)) // the reader tells what came
@@ -526,13 +526,13 @@
 
 // Events of a plain service arrive one by one, and not when the last is there.
 func TestPlainServiceStreams(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	next := make(chan struct{})
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 		<-next
-		events(w, 2, 2)
+		writeEvents(w, 2, 2)
 	})
 	out, err := http.DefaultTransport.RoundTrip(s.request(http.MethodPost, "/feed/"))
 	require.NoError(t, err)
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -10,12 +10,12 @@
 	"redwinghall/fleet"
 )
 
-// maxPermitAsks bounds how many endpoints with a limit are asked about for one try: each
+// maxPermitRequests bounds how many endpoints with a limit are asked about for one try: each
 // takes a way to the node that lends for it.
-const maxPermitAsks = 4
+const maxPermitRequests = 4
 
-// wholeLimit is the part of a limit that the only node there is lends to itself.
-const wholeLimit = 1
+// fullLimitShare is the part of a limit that the only node there is lends to itself.
+const fullLimitShare = 1
 
 // Lender gives permits for endpoints that named a limit.
 type Lender interface {
@@ -29,17 +29,17 @@
 // each kept to it alone, an endpoint in need would get it as many times as there are
 // nodes. So one node counts for all, and what it doesn't lend goes elsewhere.
 func (g *Gateway) withinLimits(ctx context.Context, r *Request, choose func(now time.Time) (balance.Choice, *balance.Refusal)) (balance.Choice, *balance.Refusal) {
-	var none *balance.Refusal
-	for range maxPermitAsks {
+	var refused *balance.Refusal
+	for range maxPermitRequests {
 		var choice balance.Choice
-		choice, none = choose(time.Now())
-		if none != nil {
-			return choice, none
+		choice, refused = choose(time.Now())
+		if refused != nil {
+			return choice, refused
 		}
 		if choice.Permitted {
 			return choice, nil
 		}
-		permit, ok := g.permit(ctx, choice)
+		permit, ok := g.requestPermit(ctx, choice)
 		if permit.Given {
 			return choice.WithPermit(true), nil
 		}
@@ -47,18 +47,18 @@
 		klog.InfoS("not_permitted", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID, "answered", ok, "wait", permit.Wait,
 			"per_second", permit.Limit.Limit.PerSecond, "limit_age", permit.Limit.Age)
 		g.Metrics.NotPermitted()
-		none = balance.LimitedRefusal(permit.Wait)
+		refused = balance.LimitedRefusal(permit.Wait)
 	}
-	return balance.Choice{}, none
+	return balance.Choice{}, refused
 }
 
-// permit asks for a permit and takes in what the answer tells.
-func (g *Gateway) permit(ctx context.Context, choice balance.Choice) (balance.Permit, bool) {
+// requestPermit asks for a requestPermit and takes in what the answer tells.
+func (g *Gateway) requestPermit(ctx context.Context, choice balance.Choice) (balance.Permit, bool) {
 	id := choice.Endpoint.ID
 	known := g.Tracker.Limit(time.Now(), id)
 	permit, ok := balance.Permit{}, true
 	if g.Lender == nil {
-		permit = g.Tracker.Lend(time.Now(), known, wholeLimit)
+		permit = g.Tracker.Lend(time.Now(), known, fullLimitShare)
 	} else {
 		permit, ok = g.Lender.Permit(ctx, choice.Endpoint, known)
 	}
@@ -72,18 +72,18 @@
 	return permit, ok
 }
 
-// noteLimit takes in what an answer says of its endpoint's limit.
-func (g *Gateway) noteLimit(r *Request, choice balance.Choice, answer *Answer) {
-	if answer.Verdict.LimitUnreadable {
+// recordLimit takes in what an answer says of its endpoint's limit.
+func (g *Gateway) recordLimit(r *Request, choice balance.Choice, response *Answer) {
+	if response.Verdict.LimitUnreadable {
 		klog.InfoS("limit_unreadable", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID)
 		return
 	}
-	limit := answer.Verdict.Limit
-	before, changed := choice.Visit.Limited(time.Now(), limit, !answer.Verdict.NotRun)
+	limit := response.Verdict.Limit
+	before, changed := choice.Visit.Limited(time.Now(), limit, !response.Verdict.NotRun)
 	if !changed {
 		return
 	}
 	klog.InfoS("limit_named", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID, "named", limit.Named, "per_second", limit.PerSecond,
-		"named_before", before.Named, "per_second_before", before.PerSecond, "status", answer.Status, "running", choice.Running)
+		"named_before", before.Named, "per_second_before", before.PerSecond, "status", response.Status, "running", choice.Running)
 	g.Metrics.LimitChanged(limit.Named)
 }
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -11,15 +11,15 @@
 	"redwinghall/platform/platformtest"
 )
 
-// needy adds an endpoint that names a limit, and returns how often it was asked.
-func (s *site) needy(id, service, perSecond string) *atomic.Int32 {
+// limitedEndpoint adds an endpoint that names a limit, and returns how often it was asked.
+func (s *fixture) limitedEndpoint(id, service, perSecond string) *atomic.Int32 {
 	var asked atomic.Int32
 	s.endpoint(id, service, func(w http.ResponseWriter, r *http.Request) {
 		asked.Add(1)
 		platformtest.NameLimit(w, perSecond)
 		sign(w, r)
 		if service == "llm" {
-			events(w, 1, 3)
+			writeEvents(w, 1, 3)
 		}
 	})
 	return &asked
@@ -29,12 +29,12 @@
 func TestRequestsBeyondALimitGoElsewhere(t *testing.T) {
 	for path, service := range map[string]string{"/look/x": "desk", "/stream/x": "llm", "/feed/x": "desk"} {
 		t.Run(path, func(t *testing.T) {
-			s := newSite(t)
-			needy := s.needy("needy", service, "0.5")
+			s := newFixture(t)
+			needy := s.limitedEndpoint("needy", service, "0.5")
 			for needy.Load() == 0 {
 				require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, path)).status)
 			}
-			other := s.needy("other", service, "")
+			other := s.limitedEndpoint("other", service, "")
 			for range 30 {
 				require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, path)).status)
 			}
@@ -48,8 +48,8 @@
 func TestRefusesBeyondAllLimits(t *testing.T) {
 	for path, service := range map[string]string{"/look/x": "desk", "/stream/x": "llm"} {
 		t.Run(path, func(t *testing.T) {
-			s := newSite(t)
-			needy := s.needy("needy", service, "1")
+			s := newFixture(t)
+			needy := s.limitedEndpoint("needy", service, "1")
 			require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, path)).status)
 			refused := s.do(s.request(http.MethodPost, path))
 			require.Equal(t, http.StatusServiceUnavailable, refused.status)
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -10,9 +10,9 @@
 
 // Bounds on how many series exist: the library keeps each for good.
 const (
-	maxSeries  = 200
-	sampleSize = 512
-	otherName  = "other"
+	maxSeries   = 200
+	sampleSize  = 512
+	otherSeries = "other"
 )
 
 // Metrics are the gateway's counters and histograms.
@@ -32,7 +32,7 @@
 
 // series bounds how many accounts and routes have series of their own.
 func (m *Metrics) series(r *Request) string {
-	name := otherName
+	name := otherSeries
 	if r.Route != nil {
 		name = r.account() + "." + string(r.Route.Kind) + "." + r.Service.Name
 	}
@@ -42,7 +42,7 @@
 		return name
 	}
 	if len(m.names) >= maxSeries {
-		return otherName
+		return otherSeries
 	}
 	m.names[name] = true
 	return name
@@ -52,7 +52,7 @@
 	metrics.GetOrRegisterCounter(name, m.registry).Inc(1)
 }
 
-func (m *Metrics) time(name string, d time.Duration) {
+func (m *Metrics) observe(name string, d time.Duration) {
 	h := m.registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, 0.015))
 	})
@@ -70,15 +70,15 @@
 // Answered counts an endpoint's answer that was passed on.
 func (m *Metrics) Answered(r *Request, status int, took time.Duration) {
 	m.count("answered." + strconv.Itoa(status))
-	m.time("answer_us."+m.series(r), took)
+	m.observe("answer_us."+m.series(r), took)
 }
 
 // Streamed counts a whole stream.
 func (m *Metrics) Streamed(r *Request, first, slowest, took time.Duration) {
 	name := m.series(r)
-	m.time("first_event_us."+name, first)
-	m.time("longest_pause_us."+name, slowest)
-	m.time("stream_us."+name, took)
+	m.observe("first_event_us."+name, first)
+	m.observe("longest_pause_us."+name, slowest)
+	m.observe("stream_us."+name, took)
 }
 
 // CallerGone counts a caller that left before its answer.
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -18,7 +18,7 @@
 	if c.g.Placer == nil || !c.g.Placer.Dispatched(now) {
 		return c.chooseByZones(ctx, now, heads, ask)
 	}
-	placement, answered := c.dispatched(ctx, heads, ask)
+	placement, answered := c.askDispatcher(ctx, heads, ask)
 	switch {
 	case placement.choice != nil:
 		return *placement.choice, nil
@@ -29,52 +29,52 @@
 	return c.chooseByZones(ctx, time.Now(), heads, ask)
 }
 
-// dispatched is what the dispatcher of this zone said: its choice, or the zone that may
+// dispatcherChoice is what the dispatcher of this zone said: its choice, or the zone that may
 // have room.
-type dispatched struct {
+type dispatcherChoice struct {
 	choice     *balance.Choice
 	elsewhere  string
 	limitedFor time.Duration
 }
 
-// dispatched asks the dispatcher of this zone for a group. It reports false if there was no
+// askDispatcher asks the dispatcher of this zone for a group. It reports false if there was no
 // answer that this node can go by.
-func (c *streamCall) dispatched(ctx context.Context, heads []*fleet.Endpoint, ask balance.Ask) (dispatched, bool) {
+func (c *streamCall) askDispatcher(ctx context.Context, heads []*fleet.Endpoint, ask balance.Ask) (dispatcherChoice, bool) {
 	tickets := &c.g.Tracker.Tickets
 	ticket := tickets.Open()
 	defer tickets.Close(ticket)
-	request := c.placement(ask)
+	request := c.placementRequest(ask)
 	request.Ticket, request.Shunned = ticket, c.g.Tracker.Shunned(time.Now(), heads)
 	placement, ok := c.g.Placer.Place(ctx, ask.Zone, request)
 	switch {
 	case !ok:
-		return dispatched{}, false
+		return dispatcherChoice{}, false
 	case placement.Endpoint == "":
 		klog.InfoS("dispatcher_has_no_room", "request", c.r.Ask.ID, "predicted", placement.Predicted, "elsewhere", placement.Elsewhere,
 			"limited_for", placement.LimitedFor)
 		// Without a prediction or a limit it knows of no group here. This node may, as
 		// their views differ for moments.
-		return dispatched{elsewhere: placement.Elsewhere, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
+		return dispatcherChoice{elsewhere: placement.Elsewhere, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
 	}
 	now := time.Now()
-	placed, usable := c.offered(now, placement, ask)
+	placed, usable := c.placedEndpoint(now, placement, ask)
 	if !usable {
-		return dispatched{}, false
+		return dispatcherChoice{}, false
 	}
-	choice := c.taken(now, placed, ask, placement)
-	return dispatched{choice: &choice}, true
+	choice := c.takePlacement(now, placed, ask, placement)
+	return dispatcherChoice{choice: &choice}, true
 }
 
-// taken returns the choice that another node made for the stream.
-func (c *streamCall) taken(now time.Time, placed *fleet.Endpoint, ask balance.Ask, placement fleet.Placement) balance.Choice {
+// takePlacement returns the choice that another node made for the stream.
+func (c *streamCall) takePlacement(now time.Time, placed *fleet.Endpoint, ask balance.Ask, placement fleet.Placement) balance.Choice {
 	choice := c.g.Tracker.Take(now, placed, ask, placement.Predicted)
 	return choice.WithPermit(choice.Permitted || placement.Permitted)
 }
 
-// offered returns the endpoint of a placement, and whether this node may use
+// placedEndpoint returns the endpoint of a placement, and whether this node may use
 // it. Where views differ, this node's own decides: it may know of a group that
 // turned cold or closed since.
-func (c *streamCall) offered(now time.Time, placement fleet.Placement, ask balance.Ask) (*fleet.Endpoint, bool) {
+func (c *streamCall) placedEndpoint(now time.Time, placement fleet.Placement, ask balance.Ask) (*fleet.Endpoint, bool) {
 	placed, known := c.r.view.Endpoints[placement.Endpoint]
 	return placed, known && !placed.ColdAt(now) && balance.Usable(&ask.Service, placed, c.r.view.ZonesOut)
 }
@@ -91,16 +91,16 @@
 	view := c.r.view
 	var unanswered *balance.Choice
 	for {
-		choice, none := c.g.Tracker.Group(now, heads, view.ZonesOut, ask)
-		if none != nil && unanswered != nil {
+		choice, refused := c.g.Tracker.Group(now, heads, view.ZonesOut, ask)
+		if refused != nil && unanswered != nil {
 			return c.g.Tracker.Take(now, unanswered.Endpoint, ask, unanswered.Predicted), nil
 		}
-		if none != nil || c.g.Placer == nil || choice.Endpoint.Zone == ask.Zone || choice.Endpoint.ColdAt(now) {
-			return choice, none
+		if refused != nil || c.g.Placer == nil || choice.Endpoint.Zone == ask.Zone || choice.Endpoint.ColdAt(now) {
+			return choice, refused
 		}
-		placement, ok := c.g.Placer.Place(ctx, choice.Endpoint.Zone, c.placement(ask))
+		placement, ok := c.g.Placer.Place(ctx, choice.Endpoint.Zone, c.placementRequest(ask))
 		now = time.Now()
-		placed, usable := c.offered(now, placement, ask)
+		placed, usable := c.placedEndpoint(now, placement, ask)
 		switch {
 		case !ok:
 			choice.Visit.Withdraw()
@@ -119,13 +119,13 @@
 			return choice.WithPermit(choice.Permitted || placement.Permitted), nil
 		default:
 			choice.Visit.Withdraw()
-			return c.taken(now, placed, ask, placement), nil
+			return c.takePlacement(now, placed, ask, placement), nil
 		}
 	}
 }
 
-// placement returns what a zone needs to know of the stream.
-func (c *streamCall) placement(ask balance.Ask) fleet.PlacementRequest {
+// placementRequest returns what a zone needs to know of the stream.
+func (c *streamCall) placementRequest(ask balance.Ask) fleet.PlacementRequest {
 	request := fleet.PlacementRequest{
 		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, GoesOn: ask.GoesOn,
 	}
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// far adds a stand-in group of another zone, which stays cold for a while.
-func (s *site) far(zone, id string, cold time.Duration) {
+// remoteGroup adds a stand-in group of another zone, which stays cold for a while.
+func (s *fixture) remoteGroup(zone, id string, cold time.Duration) {
 	s.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Served-By", id)
 		sign(w, r)
-		events(w, 1, 3)
+		writeEvents(w, 1, 3)
 	}))
 	s.t.Cleanup(server.Close)
 	s.registerIn(zone, id, "llm", server.Listener.Addr().String(), cold)
@@ -37,10 +37,10 @@
 		"all zones are full":       {map[string]string{"b": "", "c": ""}, 503, []string{""}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
-			s.far("b", "b1", 0)
-			s.far("b", "b2", 0)
-			s.far("c", "c1", 0)
+			s := newFixture(t)
+			s.remoteGroup("b", "b1", 0)
+			s.remoteGroup("b", "b2", 0)
+			s.remoteGroup("c", "c1", 0)
 			s.placer.offers = c.offers
 			got := s.do(s.request(http.MethodPost, "/stream/x"))
 			require.Equal(t, c.status, got.status)
@@ -64,9 +64,9 @@
 		"another zone is full": {map[string]string{"c": ""}, "b1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
-			s.far("b", "b1", 0)
-			s.far("c", "c1", 0)
+			s := newFixture(t)
+			s.remoteGroup("b", "b1", 0)
+			s.remoteGroup("c", "c1", 0)
 			s.placer.offers = c.offers
 			for range 8 {
 				got := s.do(s.request(http.MethodPost, "/stream/x"))
@@ -81,12 +81,12 @@
 // all nodes may send to a cold group is shared out, and this stream has no part
 // in it: more than the group bears would make it fall over.
 func TestStreamGoesToNoGroupThatTurnedCold(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	service := s.config.Services["llm"]
 	service.ColdPerSecond = 1
 	s.config.Services["llm"] = service
-	s.far("b", "warm", 0)
-	s.far("b", "cold", time.Hour)
+	s.remoteGroup("b", "warm", 0)
+	s.remoteGroup("b", "cold", time.Hour)
 	s.placer.offers = map[string]string{"b": "cold"}
 	for range 5 {
 		got := s.do(s.request(http.MethodPost, "/stream/x"))
@@ -98,12 +98,12 @@
 // A stream that stays in its zone asks nobody: that would cost each caller the
 // way to another node and back.
 func TestStreamOfTheOwnZoneAsksNobody(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.endpoint("near", "llm", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 3)
+		writeEvents(w, 1, 3)
 	})
-	s.far("b", "b1", 0)
+	s.remoteGroup("b", "b1", 0)
 	require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, "/stream/x")).status)
 	require.Empty(t, s.placer.asked)
 }
@@ -124,11 +124,11 @@
 		"it is out of date":                {map[string]string{"a": "gone"}, "", []string{"a1", "a2"}, []string{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
-			s.far("a", "a1", 0)
-			s.far("a", "a2", 0)
-			s.far("b", "b1", 0)
-			s.far("c", "c1", 0)
+			s := newFixture(t)
+			s.remoteGroup("a", "a1", 0)
+			s.remoteGroup("a", "a2", 0)
+			s.remoteGroup("b", "b1", 0)
+			s.remoteGroup("c", "c1", 0)
 			s.placer.dispatched, s.placer.offers, s.placer.elsewhere = true, c.offers, c.elsewhere
 			got := s.do(s.request(http.MethodPost, "/stream/x"))
 			require.Equal(t, http.StatusOK, got.status)
@@ -141,9 +141,9 @@
 // All zones are full: the caller is refused at once, without a question to each of them, and
 // told when to come back.
 func TestStreamIsRefusedWhereNoZoneHasRoom(t *testing.T) {
-	s := newSite(t)
-	s.far("a", "a1", 0)
-	s.far("b", "b1", 0)
+	s := newFixture(t)
+	s.remoteGroup("a", "a1", 0)
+	s.remoteGroup("b", "b1", 0)
 	s.placer.dispatched, s.placer.offers = true, map[string]string{"a": "", "b": "b1"}
 	got := s.do(s.request(http.MethodPost, "/stream/x"))
 	require.Equal(t, []string{"a"}, s.placer.asked)
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -16,45 +16,45 @@
 )
 
 const (
-	// wholeAnswer is the size up to which an answer is read whole before it is
+	// maxBufferedResponse is the size up to which an answer is read whole before it is
 	// passed on, so that a broken one can be replaced by a second try.
-	wholeAnswer = 256 << 10
+	maxBufferedResponse = 256 << 10
 	// maxDials bounds how many endpoints may refuse a connection to one request.
 	maxDials = 3
-	// tryShare is the part of the time left that one endpoint gets while
+	// attemptTimeShare is the part of the time left that one endpoint gets while
 	// another may still be tried.
-	tryShare = 0.4
+	attemptTimeShare = 0.4
 )
 
-var errEncoded = errors.New("the answer is not the endpoint's own bytes")
+var errEncodedResponse = errors.New("the answer is not the endpoint's own bytes")
 
-// try is one attempt's end, as far as the next step depends on it.
-type try struct {
-	answer *Answer
+// plainAttempt is one attempt's end, as far as the next step depends on it.
+type plainAttempt struct {
+	response *Answer
 	body   []byte
 	err    error // of kind NotSent or Unknown
 	// notRun: the endpoint promised that it did not run the request.
 	notRun bool
-	// rest is what follows body of an answer that is too large to be kept; nil
+	// unread is what follows body of an answer that is too large to be kept; nil
 	// if body is all. It is closed by end.
-	rest io.Reader
-	end  func()
+	unread  io.Reader
+	release func()
 }
 
 // close ends the connection of an answer that was not read whole.
-func (t try) close() {
-	if t.end != nil {
-		t.end()
+func (t plainAttempt) close() {
+	if t.release != nil {
+		t.release()
 	}
 }
 
 // plainCall is the progress of one request to a plain service.
 type plainCall struct {
-	g     *Gateway
-	r     *Request
-	tried map[string]bool
-	sent  int // endpoints that may have seen the request
-	dials int // connections that were refused
+	g           *Gateway
+	r           *Request
+	tried       map[string]bool
+	sent        int // endpoints that may have seen the request
+	failedDials int // connections that were refused
 	// mayHaveRun says that an endpoint may have run the request.
 	mayHaveRun bool
 }
@@ -62,24 +62,24 @@
 // servePlain answers a request whose answer is one body.
 func (g *Gateway) servePlain(ctx context.Context, w http.ResponseWriter, r *Request) {
 	call := &plainCall{g: g, r: r, tried: map[string]bool{}}
-	if !call.fits(time.Now()) {
+	if !call.fitsPlannedStop(time.Now()) {
 		g.refuse(w, r, g.stop().refusal(time.Now(), g.callTimes.longest(r.Route.Name)))
 		return
 	}
-	defer call.noteTime()
+	defer call.recordCallTime()
 	for {
-		choice, none := g.choosePlain(ctx, r, g.ask(r, call.tried))
-		if none != nil && g.awaitEndpoints(ctx, time.Now(), none) {
+		choice, refused := g.choosePlain(ctx, r, g.ask(r, call.tried))
+		if refused != nil && g.awaitEndpoints(ctx, time.Now(), refused) {
 			r.view = g.Book.View()
 			continue
 		}
-		if none != nil {
-			g.refuse(w, r, call.refusalOfNone(none))
+		if refused != nil {
+			g.refuse(w, r, call.noEndpointRefusal(refused))
 			return
 		}
-		last := call.once(ctx, choice)
+		last := call.attempt(ctx, choice)
 		call.mayHaveRun = call.mayHaveRun || (!last.notRun && redwinghall.KindOf[Kind](last.err) != NotSent)
-		if call.again(ctx, last) {
+		if call.shouldRetry(ctx, last) {
 			last.close()
 			r.view = g.Book.View()
 			continue
@@ -97,73 +97,73 @@
 	})
 }
 
-// fits reports whether a node that may be stopping has time for one more try.
+// fitsPlannedStop reports whether a node that may be stopping has time for one more try.
 // Only the calls of one route resemble each other: a service may answer
 // look-ups at once and take seconds for bookings.
-func (c *plainCall) fits(now time.Time) bool {
+func (c *plainCall) fitsPlannedStop(now time.Time) bool {
 	return c.g.stop().Takes(now, c.g.callTimes.longest(c.r.Route.Name), c.r.Deadline)
 }
 
-// noteTime remembers how long the call took, whatever came of it.
-func (c *plainCall) noteTime() {
+// recordCallTime remembers how long the call took, whatever came of it.
+func (c *plainCall) recordCallTime() {
 	if c.sent > 0 {
-		c.g.callTimes.note(c.r.Route.Name, time.Since(c.r.Arrived))
+		c.g.callTimes.record(c.r.Route.Name, time.Since(c.r.Arrived))
 	}
 }
 
-// refusalOfNone refuses a request for which no endpoint is left. It promises
+// noEndpointRefusal refuses a request for which no endpoint is left. It promises
 // that nothing ran only if nothing was sent.
-func (c *plainCall) refusalOfNone(none *balance.Refusal) refusal {
-	why := c.g.refusalOfNone(none)
+func (c *plainCall) noEndpointRefusal(refused *balance.Refusal) refusal {
+	why := c.g.noEndpointRefusal(refused)
 	if c.mayHaveRun {
 		why.status = http.StatusBadGateway
 	}
 	return why
 }
 
-// once sends the request to one endpoint and reads the answer, a large one in part.
-func (c *plainCall) once(ctx context.Context, choice balance.Choice) try {
+// attempt sends the request to one endpoint and reads the answer, a large one in part.
+func (c *plainCall) attempt(ctx context.Context, choice balance.Choice) plainAttempt {
 	c.tried[choice.Endpoint.ID] = true
-	ctx, cancel := context.WithTimeout(ctx, c.tryTime(time.Now()))
-	answer, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forward(c.r, choice.Endpoint, ""))
+	ctx, cancel := context.WithTimeout(ctx, c.attemptTimeout(time.Now()))
+	response, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forward(c.r, choice.Endpoint, ""))
 	if err != nil {
 		cancel()
-		return c.failed(choice, err)
+		return c.recordSendFailure(choice, err)
 	}
 	c.sent++
-	c.g.noteLimit(c.r, choice, answer)
-	last := c.read(answer)
-	last.end = func() {
-		_ = answer.Body.Close() // what was needed of it was read
+	c.g.recordLimit(c.r, choice, response)
+	last := c.readResponse(response)
+	last.release = func() {
+		_ = response.Body.Close() // what was needed of it was read
 		cancel()
 	}
-	c.note(choice, last)
-	if last.rest == nil {
-		last.end()
-		last.end = nil
+	c.recordAttempt(choice, last)
+	if last.unread == nil {
+		last.release()
+		last.release = nil
 	}
 	return last
 }
 
-// read reads an answer as far as it is kept.
-func (c *plainCall) read(answer *Answer) try {
-	last := try{answer: answer, notRun: answer.Verdict.NotRun}
+// readResponse reads an answer as far as it is kept.
+func (c *plainCall) readResponse(answer *Answer) plainAttempt {
+	last := plainAttempt{response: answer, notRun: answer.Verdict.NotRun}
 	var err error
-	last.body, err = io.ReadAll(io.LimitReader(answer.Body, wholeAnswer+1))
+	last.body, err = io.ReadAll(io.LimitReader(answer.Body, maxBufferedResponse+1))
 	if err == nil && answer.Verdict.Encoded {
-		err = errEncoded
+		err = errEncodedResponse
 	}
 	if err != nil && !last.notRun {
-		return try{err: redwinghall.NewOpError("plainCall.read", Unknown, err)}
+		return plainAttempt{err: redwinghall.NewOpError("plainCall.readResponse", Unknown, err)}
 	}
-	if len(last.body) > wholeAnswer {
-		last.rest = answer.Body
+	if len(last.body) > maxBufferedResponse {
+		last.unread = answer.Body
 	}
 	return last
 }
 
-// note tells the tracker, and the log, how an attempt ended.
-func (c *plainCall) note(choice balance.Choice, last try) {
+// recordAttempt tells the tracker, and the log, how an attempt ended.
+func (c *plainCall) recordAttempt(choice balance.Choice, last plainAttempt) {
 	now := time.Now()
 	if last.err != nil {
 		choice.Visit.Done(now, false)
@@ -171,71 +171,71 @@
 			"kind", redwinghall.KindOf[Kind](last.err), "running", choice.Running, "err", last.err)
 		return
 	}
-	load := last.answer.Verdict.Load
+	load := last.response.Verdict.Load
 	if load.Known {
 		choice.Visit.Told(now, load.Running+load.Waiting)
 	}
-	choice.Visit.Done(now, !last.notRun && last.answer.Status < http.StatusInternalServerError)
-	if last.answer.Status == http.StatusMisdirectedRequest {
+	choice.Visit.Done(now, !last.notRun && last.response.Status < http.StatusInternalServerError)
+	if last.response.Status == http.StatusMisdirectedRequest {
 		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
 	}
-	klog.InfoS("answered", "request", c.r.Ask.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "status", last.answer.Status,
+	klog.InfoS("answered", "request", c.r.Ask.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "status", last.response.Status,
 		"not_run", last.notRun, "running", choice.Running, "load_age", choice.Age, "attempts", c.sent, "took", now.Sub(c.r.Arrived),
-		"configuration", c.r.version())
+		"configuration", c.r.configVersion())
 }
 
-// tryTime is how long one endpoint may take.
-func (c *plainCall) tryTime(now time.Time) time.Duration {
+// attemptTimeout is how long one endpoint may take.
+func (c *plainCall) attemptTimeout(now time.Time) time.Duration {
 	left := c.r.Left(now)
 	if c.r.Idempotent() && c.sent+1 < c.r.Route.MaxAttempts {
-		return time.Duration(tryShare * float64(left))
+		return time.Duration(attemptTimeShare * float64(left))
 	}
 	return left
 }
 
-// failed ends a visit that brought no answer.
-func (c *plainCall) failed(choice balance.Choice, err error) try {
+// recordSendFailure ends a visit that brought no answer.
+func (c *plainCall) recordSendFailure(choice balance.Choice, err error) plainAttempt {
 	now := time.Now()
 	choice.Visit.Done(now, false)
 	if redwinghall.KindOf[Kind](err) == NotSent {
-		c.dials++
+		c.failedDials++
 		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
 	} else {
 		c.sent++
 	}
 	klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
 		"kind", redwinghall.KindOf[Kind](err), "running", choice.Running, "err", err)
-	return try{err: err}
+	return plainAttempt{err: err}
 }
 
-// again reports whether another endpoint may get the request.
-func (c *plainCall) again(ctx context.Context, last try) bool {
+// shouldRetry reports whether another endpoint may get the request.
+func (c *plainCall) shouldRetry(ctx context.Context, last plainAttempt) bool {
 	now := time.Now()
 	switch {
-	case ctx.Err() != nil || !c.fits(now):
+	case ctx.Err() != nil || !c.fitsPlannedStop(now):
 		return false
 	case redwinghall.KindOf[Kind](last.err) == NotSent:
-		return c.dials < maxDials && c.r.Left(now) > leastLeft
+		return c.failedDials < maxDials && c.r.Left(now) > minRemaining
 	case last.notRun:
 		return c.g.mayRetry(c.r, c.sent, now)
 	case !c.r.Idempotent():
 		return false
-	case last.err != nil || last.answer.Status >= http.StatusInternalServerError:
+	case last.err != nil || last.response.Status >= http.StatusInternalServerError:
 		return c.g.mayRetry(c.r, c.sent, now)
 	}
 	return false
 }
 
 // finishPlain gives the caller what the last try brought.
-func (g *Gateway) finishPlain(ctx context.Context, w http.ResponseWriter, call *plainCall, last try) {
+func (g *Gateway) finishPlain(ctx context.Context, w http.ResponseWriter, call *plainCall, last plainAttempt) {
 	r := call.r
 	switch {
-	case last.answer != nil && last.notRun && !call.mayHaveRun:
-		g.refuse(w, r, refusal{status: http.StatusServiceUnavailable, reason: "endpoint_busy", retryAfter: retryUnknown})
-	case last.answer != nil && !last.notRun:
-		g.pass(w, r, last)
+	case last.response != nil && last.notRun && !call.mayHaveRun:
+		g.refuse(w, r, refusal{status: http.StatusServiceUnavailable, reason: "endpoint_busy", retryAfter: defaultRetryAfter})
+	case last.response != nil && !last.notRun:
+		g.forwardResponse(w, r, last)
 	case redwinghall.KindOf[Kind](last.err) == NotSent && !call.mayHaveRun && ctx.Err() == nil:
-		g.refuse(w, r, refusal{status: http.StatusServiceUnavailable, reason: balance.Unreachable, retryAfter: retryUnknown})
+		g.refuse(w, r, refusal{status: http.StatusServiceUnavailable, reason: balance.Unreachable, retryAfter: defaultRetryAfter})
 	case errors.Is(ctx.Err(), context.Canceled):
 		g.callerGone(r)
 	case ctx.Err() != nil:
@@ -245,36 +245,36 @@
 	}
 }
 
-// pass gives the caller the endpoint's answer as it is.
+// forwardResponse gives the caller the endpoint's answer as it is.
 //
 // Guard: 408, 429 and 503 tell a caller that its request has not run. An
 // endpoint that sends one of them without that promise may have run it, so the
 // caller gets 502, which promises nothing.
-func (g *Gateway) pass(w http.ResponseWriter, r *Request, last try) {
-	status := last.answer.Status
-	if promises(status) || (status < http.StatusMultipleChoices && !whole(r, last.answer)) {
+func (g *Gateway) forwardResponse(w http.ResponseWriter, r *Request, last plainAttempt) {
+	status := last.response.Status
+	if statusMeansNotRun(status) || (status < http.StatusMultipleChoices && !signedFor(r, last.response)) {
 		g.refuse(w, r, refusal{status: http.StatusBadGateway, reason: "answer_unusable"})
 		return
 	}
-	platform.CopyAnswer(w.Header(), last.answer.Header)
+	platform.CopyAnswer(w.Header(), last.response.Header)
 	w.WriteHeader(status)
-	if err := passBody(w, last); err != nil {
+	if err := writeBody(w, last); err != nil {
 		klog.InfoS("answer_broken_off", "request", r.Ask.ID, "status", status, "err", err)
 		panic(http.ErrAbortHandler) // an answer that ends early must not look complete
 	}
 	g.Metrics.Answered(r, status, time.Since(r.Arrived))
 }
 
-func passBody(w io.Writer, last try) error {
-	if _, err := w.Write(last.body); err != nil || last.rest == nil {
+func writeBody(w io.Writer, last plainAttempt) error {
+	if _, err := w.Write(last.body); err != nil || last.unread == nil {
 		return err
 	}
-	_, err := io.Copy(w, last.rest)
+	_, err := io.Copy(w, last.unread)
 	return err
 }
 
-// promises reports whether a status says that nothing ran.
-func promises(status int) bool {
+// statusMeansNotRun reports whether a status says that nothing ran.
+func statusMeansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -282,9 +282,9 @@
 	return false
 }
 
-// whole reports whether a success is the endpoint's own: signed, and for this request.
-func whole(r *Request, answer *Answer) bool {
-	return answer.Verdict.Signed && answer.Verdict.RequestID == r.Ask.ID
+// signedFor reports whether a success is the endpoint's own: signed, and for this request.
+func signedFor(r *Request, response *Answer) bool {
+	return response.Verdict.Signed && response.Verdict.RequestID == r.Ask.ID
 }
 
 func (g *Gateway) callerGone(r *Request) {
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -32,22 +32,22 @@
 	nodeLeft time.Duration
 }
 
-func ofBalance(r *balance.Refusal) refusal {
+func fromBalance(r *balance.Refusal) refusal {
 	return refusal{
 		status: http.StatusServiceUnavailable, reason: r.Reason, retryAfter: r.RetryAfter, predicted: r.Predicted,
 		best: r.Best, running: r.Running, loadAge: r.Age,
 	}
 }
 
-// endpointsSoon is when a caller may try again at a node that has just started.
-const endpointsSoon = 300 * time.Millisecond
+// startupRetryAfter is when a caller may try again at a node that has just started.
+const startupRetryAfter = 300 * time.Millisecond
 
-// refusalOfNone refuses a request for which no endpoint was chosen. A node that
+// noEndpointRefusal refuses a request for which no endpoint was chosen. A node that
 // has not read any entry yet knows of none, but soon will.
-func (g *Gateway) refusalOfNone(none *balance.Refusal) refusal {
-	why := ofBalance(none)
-	if none.Reason == balance.NoEndpoint && g.Book.Read().IsZero() {
-		why.reason, why.retryAfter = "endpoints_unknown", endpointsSoon
+func (g *Gateway) noEndpointRefusal(refused *balance.Refusal) refusal {
+	why := fromBalance(refused)
+	if refused.Reason == balance.NoEndpoint && g.Book.Read().IsZero() {
+		why.reason, why.retryAfter = "endpoints_unknown", startupRetryAfter
 	}
 	return why
 }
@@ -60,9 +60,9 @@
 // refuse answers at once, so that the caller can go elsewhere in its time.
 func (g *Gateway) refuse(w http.ResponseWriter, r *Request, why refusal) {
 	klog.InfoS("refused", "request", r.Ask.ID, "status", why.status, "reason", why.reason, "account", r.account(),
-		"route", routeName(r), "predicted", why.predicted, "objective", objectiveOf(r), "best", why.best, "running", why.running,
+		"route", routeName(r), "predicted", why.predicted, "objective", routeObjective(r), "best", why.best, "running", why.running,
 		"load_age", why.loadAge, "node_left", why.nodeLeft, "retry_after", why.retryAfter, "held", time.Since(r.Arrived),
-		"configuration", r.version())
+		"configuration", r.configVersion())
 	g.Metrics.Refused(r, why)
 	h := w.Header()
 	platform.SetRequestID(h, r.Ask.ID)
@@ -89,7 +89,7 @@
 	return r.Route.Name
 }
 
-func objectiveOf(r *Request) time.Duration {
+func routeObjective(r *Request) time.Duration {
 	if r.Route == nil {
 		return 0
 	}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -39,8 +39,8 @@
 	return r.Route.Priority
 }
 
-// version returns the version of the configuration that decided the request, 0 for none.
-func (r *Request) version() int64 {
+// configVersion returns the configVersion of the configuration that decided the request, 0 for none.
+func (r *Request) configVersion() int64 {
 	if config := r.view.Config(); config != nil {
 		return config.Version
 	}
@@ -63,8 +63,8 @@
 // Left returns how much time the request has.
 func (r *Request) Left(now time.Time) time.Duration { return r.Deadline.Sub(now) }
 
-// withDeadline sets when the request ends.
-func (r *Request) withDeadline() {
+// setDeadline sets when the request ends.
+func (r *Request) setDeadline() {
 	r.Deadline = r.Arrived.Add(r.Route.Timeout)
 	r.ByRoute = true
 	if r.Ask.Patience > 0 && (r.Ask.Patience < r.Route.Timeout || r.Route.Timeout <= 0) {
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -7,33 +7,33 @@
 	"redwinghall/balance"
 )
 
-// watch calls end once nothing has moved in the group for too long and the
+// watchStall calls end once nothing has moved in the group for too long and the
 // stream may go on elsewhere. The returned function stops it.
 //
 // Guard: a group that lost a member moves nothing for seconds, and its callers
 // leave after two. But an answer is never ended only because it is slow: where
 // no other group can go on with it, the stream waits.
-func (c *streamCall) watch(choice balance.Choice, end func()) func() {
-	w := &silenceWatch{call: c, choice: choice, end: end, limit: c.silenceOf()}
+func (c *streamCall) watchStall(choice balance.Choice, cancel func()) func() {
+	w := &stallWatch{call: c, choice: choice, cancel: cancel, limit: c.stallTimeout()}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(w.limit, w.look)
+	w.timer = time.AfterFunc(w.limit, w.check)
 	return w.stop
 }
 
-// silenceWatch is the timer of one attempt.
-type silenceWatch struct {
-	mu      sync.Mutex
-	call    *streamCall
-	choice  balance.Choice
-	end     func()
-	limit   time.Duration
-	timer   *time.Timer
-	stopped bool
-	told    bool
+// stallWatch is the timer of one attempt.
+type stallWatch struct {
+	mu       sync.Mutex
+	call     *streamCall
+	choice   balance.Choice
+	cancel   func()
+	limit    time.Duration
+	timer    *time.Timer
+	stopped  bool
+	reported bool
 }
 
-func (w *silenceWatch) look() {
+func (w *stallWatch) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped {
@@ -41,31 +41,31 @@
 	}
 	now := time.Now()
 	if silent := w.choice.Visit.Silent(now); silent < w.limit {
-		w.timer.Reset(max(silenceCheck, w.limit-silent))
+		w.timer.Reset(max(stallCheckInterval, w.limit-silent))
 		return
 	}
-	if !w.told {
-		w.told = true
+	if !w.reported {
+		w.reported = true
 		w.call.g.Tracker.Unreachable(now, w.choice.Endpoint.ID)
 		w.call.g.Stalled(w.choice.Endpoint.ID)
 	}
-	if w.call.mayMove(now) {
-		w.end()
+	if w.call.mayResumeElsewhere(now) {
+		w.cancel()
 		return
 	}
-	w.timer.Reset(silenceCheck)
+	w.timer.Reset(stallCheckInterval)
 }
 
-func (w *silenceWatch) stop() {
+func (w *stallWatch) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
 	w.timer.Stop()
 }
 
-// mayMove reports whether the stream may go on at another group now, and
+// mayResumeElsewhere reports whether the stream may go on at another group now, and
 // spends the retry for it.
-func (c *streamCall) mayMove(now time.Time) bool {
+func (c *streamCall) mayResumeElsewhere(now time.Time) bool {
 	if !c.r.Idempotent() || c.sent.Load() >= int64(c.r.Route.MaxAttempts) {
 		return false
 	}
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -7,20 +7,20 @@
 	"redwinghall/balance"
 )
 
-// startWait is how long after its start a node lets callers wait for what it
+// startupWait is how long after its start a node lets callers wait for what it
 // serves by: longer than the first reads take where the store answers.
-const startWait = time.Second
+const startupWait = time.Second
 
-// await waits until what is awaited is known, while this node has just started.
+// awaitStartup waits until what is awaited is known, while this node has just started.
 // It reports whether it is.
 //
 // Guard: when all nodes start again at once, those who come first were mostly
 // turned away or cut off before, and have no try left. Refused for what the node
 // knows a moment later, they get no answer at all.
-func (g *Gateway) await(ctx context.Context, now time.Time, known <-chan struct{}) bool {
-	left := startWait - now.Sub(g.started)
+func (g *Gateway) awaitStartup(ctx context.Context, now time.Time, known <-chan struct{}) bool {
+	left := startupWait - now.Sub(g.started)
 	if left <= 0 {
-		return closed(known)
+		return isClosed(known)
 	}
 	timer := time.NewTimer(left)
 	defer timer.Stop()
@@ -29,10 +29,10 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return closed(known)
+	return isClosed(known)
 }
 
-func closed(c <-chan struct{}) bool {
+func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -43,6 +43,6 @@
 
 // awaitEndpoints waits for the endpoints' entries where none was chosen because
 // this node has read none yet. It reports whether a choice may come out otherwise now.
-func (g *Gateway) awaitEndpoints(ctx context.Context, now time.Time, none *balance.Refusal) bool {
-	return none.Reason == balance.NoEndpoint && !closed(g.Book.Listed()) && g.await(ctx, now, g.Book.Listed())
+func (g *Gateway) awaitEndpoints(ctx context.Context, now time.Time, refused *balance.Refusal) bool {
+	return refused.Reason == balance.NoEndpoint && !isClosed(g.Book.Listed()) && g.awaitStartup(ctx, now, g.Book.Listed())
 }
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -19,7 +19,7 @@
 func TestCallersWaitForANodeThatJustStarted(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/look/x"} {
 		t.Run(path, func(t *testing.T) {
-			s := newUnconfigured(t)
+			s := newUnconfiguredFixture(t)
 			time.AfterFunc(100*time.Millisecond, func() {
 				s.book.Apply(time.Now(), directory.Change{Config: s.config})
 			})
@@ -27,7 +27,7 @@
 				for id, service := range map[string]string{"e1": "llm", "e2": "desk"} {
 					s.endpoint(id, service, func(w http.ResponseWriter, r *http.Request) {
 						sign(w, r)
-						events(w, 1, 3)
+						writeEvents(w, 1, 3)
 					})
 				}
 				s.book.NoteRead(fleet.Position{Version: 7})
@@ -40,7 +40,7 @@
 // A node that can't read anything after its start refuses callers after a
 // second, and at once from then on.
 func TestCallersDoNotWaitForAStoreThatIsAway(t *testing.T) {
-	s := newUnconfigured(t)
+	s := newUnconfiguredFixture(t)
 	began := time.Now()
 	require.Equal(t, http.StatusServiceUnavailable, s.do(s.request(http.MethodPost, "/stream/x")).status)
 	require.Less(t, time.Since(began), 2*time.Second)
@@ -52,7 +52,7 @@
 // All nodes have just started, and each takes itself for the only one: what a cold endpoint
 // bears, and the retries that all share, are spent as many times as there are nodes.
 func TestNodeThatKnowsNoOtherSpendsNothingShared(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.shares = gateway.Shares{Zone: 1}
 	s.settings.Bounds.ColdOvershoot, s.settings.Bounds.ColdSlack = 1.5, 5
 	service := s.config.Services["desk"]
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -39,11 +39,11 @@
 // How much more time than a request is expected to take the node must have, as a
 // part of that: answers take longer where prompts of others are read meanwhile.
 const (
-	// noticedReserve holds once callers can find another node.
-	noticedReserve = 0.6
-	// unnoticedReserve is smaller: until then, who is refused may well come to
+	// noticedMargin holds once callers can find another node.
+	noticedMargin = 0.6
+	// unnoticedMargin is smaller: until then, who is refused may well come to
 	// a node that stops too, or back to this one.
-	unnoticedReserve = 0.1
+	unnoticedMargin = 0.1
 )
 
 // Takes reports whether the node takes a request now that is expected to take so
@@ -62,20 +62,20 @@
 	if expected <= 0 {
 		return false
 	}
-	reserve := unnoticedReserve
+	margin := unnoticedMargin
 	if !now.Before(s.Noticed) {
-		reserve = noticedReserve
+		margin = noticedMargin
 	}
-	return !now.Add(expected + time.Duration(reserve*float64(expected))).After(s.End)
+	return !now.Add(expected + time.Duration(margin*float64(expected))).After(s.End)
 }
 
-// retryElsewhere is when a caller may ask another node: at once.
-const retryElsewhere = 20 * time.Millisecond
+// stopRetryAfter is when a caller may ask another node: at once.
+const stopRetryAfter = 20 * time.Millisecond
 
 // refusal refuses a request that this node has no time for.
 func (s Stop) refusal(now time.Time, expected time.Duration) refusal {
 	return refusal{
-		status: http.StatusServiceUnavailable, reason: "node_stops", retryAfter: retryElsewhere,
+		status: http.StatusServiceUnavailable, reason: "node_stops", retryAfter: stopRetryAfter,
 		predicted: expected, nodeLeft: s.End.Sub(now),
 	}
 }
--- a/gateway/stop_expected_test.go
+++ b/gateway/stop_expected_test.go
@@ -19,7 +19,7 @@
 // expected from the mean of all calls to its endpoint, and look-ups are most of them.
 func TestStoppingGatewayExpectsACallByItsRoute(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newFixture(t)
 	const bookingTime = 2 * time.Second
 	var late atomic.Int32
 	s.endpoint("desk-1", "desk", func(w http.ResponseWriter, r *http.Request) {
@@ -31,7 +31,7 @@
 		}
 		sign(w, r)
 	})
-	ask := func(path, id string) answer {
+	ask := func(path, id string) response {
 		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), path, nil, platformtest.Ask{
 			ID: id, Key: "key-1", Patience: 3 * time.Second,
 		})
--- a/gateway/stop_plain_test.go
+++ b/gateway/stop_plain_test.go
@@ -16,7 +16,7 @@
 // So it is refused unrun, as a stream is.
 func TestStoppingGatewayRefusesLateBookings(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newFixture(t)
 	var runs atomic.Int32
 	s.endpoint("desk-1", "desk", func(w http.ResponseWriter, r *http.Request) {
 		runs.Add(1)
--- a/gateway/stop_retry_test.go
+++ b/gateway/stop_retry_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(one.service, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t)
+			s := newFixture(t)
 			var tries atomic.Int32
 			answering := func(w http.ResponseWriter, r *http.Request) {
 				if platformtest.Read(r).ID == "earlier" {
@@ -42,11 +42,11 @@
 					return
 				}
 				sign(w, r)
-				events(w, 1, 3)
+				writeEvents(w, 1, 3)
 			}
 			s.endpoint("one", one.service, answering)
 			s.endpoint("other", one.service, answering)
-			ask := func(id string) answer {
+			ask := func(id string) response {
 				r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), one.path, nil, platformtest.Ask{
 					ID: id, Key: "key-1", Model: "m0", Patience: 3 * time.Second, Prompt: 100, Answer: 60,
 				})
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -67,12 +67,12 @@
 // streams, and calls whose deadline is near, are served as ever.
 func TestStoppingGatewayRefusesWhatOutlastsIt(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newFixture(t)
 	var ran sync.Map // request ids
 	answering := func(w http.ResponseWriter, r *http.Request) {
 		ran.Store(platformtest.Read(r).ID, true)
 		sign(w, r)
-		events(w, 1, 3)
+		writeEvents(w, 1, 3)
 	}
 	s.endpoint("engine-1", "llm", answering)
 	s.endpoint("desk-1", "desk", answering)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	// silenceLimit is how long nothing may move in a group before its streams
+	// minStallTimeout is how long nothing may move in a group before its streams
 	// go on elsewhere: longer than a pass that reads prompts at every step, and
 	// short enough that callers have not left yet.
-	silenceLimit = 700 * time.Millisecond
-	// silenceCheck is how often that is looked at.
-	silenceCheck = 100 * time.Millisecond
-	// plainPauses is how many of the longest good pauses a plain service's
+	minStallTimeout = 700 * time.Millisecond
+	// stallCheckInterval is how often that is looked at.
+	stallCheckInterval = 100 * time.Millisecond
+	// plainStallPauses is how many of the longest good pauses a plain service's
 	// stream may be silent.
-	plainPauses = 6
+	plainStallPauses = 6
 )
 
 var errStalled = errors.New("nothing moves in the group")
 
 // streamCall is the progress of one stream.
 type streamCall struct {
-	g     *Gateway
-	r     *Request
-	w     http.ResponseWriter
-	flush *http.ResponseController
-	tried map[string]bool
-	sent  atomic.Int64 // groups that may have seen the request
-	dials int
+	g           *Gateway
+	r           *Request
+	w           http.ResponseWriter
+	flush       *http.ResponseController
+	tried       map[string]bool
+	sent        atomic.Int64 // groups that may have seen the request
+	failedDials int
 	// mayHaveRun says that a group may have run the request, or be running it.
-	mayHaveRun bool
-	begun      bool  // the caller has the headers
-	lastID     int64 // of the last event that the caller has
-	hasID      bool
-	started    time.Time // of the first event
-	slowest    time.Duration
-	last       time.Time
+	mayHaveRun   bool
+	headersSent  bool  // the caller has the headers
+	lastID       int64 // of the last event that the caller has
+	hasID        bool
+	firstEventAt time.Time // of the first event
+	longestPause time.Duration
+	lastEventAt  time.Time
 }
 
 // serveStream answers a request by a series of events.
@@ -57,25 +57,25 @@
 		call.lastID, call.hasID = id, true
 	}
 	for {
-		choice, none := call.choose(ctx)
-		if none != nil && g.awaitEndpoints(ctx, time.Now(), none) {
+		choice, refused := call.choose(ctx)
+		if refused != nil && g.awaitEndpoints(ctx, time.Now(), refused) {
 			r.view = g.Book.View()
 			continue
 		}
-		if none != nil {
-			call.refuse(g.refusalOfNone(none))
+		if refused != nil {
+			call.refuse(g.noEndpointRefusal(refused))
 			return
 		}
-		if now, stop := time.Now(), g.stop(); !call.begun && !stop.Takes(now, choice.Expected, r.Deadline) {
+		if now, stop := time.Now(), g.stop(); !call.headersSent && !stop.Takes(now, choice.Expected, r.Deadline) {
 			choice.Visit.Withdraw()
 			call.refuse(stop.refusal(now, choice.Expected))
 			return
 		}
-		last := call.once(ctx, choice)
+		last := call.attempt(ctx, choice)
 		if last.done {
 			return
 		}
-		if !call.again(ctx, last) {
+		if !call.shouldRetry(ctx, last) {
 			call.giveUp(ctx)
 			return
 		}
@@ -96,35 +96,35 @@
 	})
 }
 
-// silenceOf returns how long nothing may move before the stream goes on
+// stallTimeout returns how long nothing may move before the stream goes on
 // elsewhere. Of plain services only the pause is known that operators want.
-func (c *streamCall) silenceOf() time.Duration {
+func (c *streamCall) stallTimeout() time.Duration {
 	if c.r.Service.Engine != nil {
-		return silenceLimit
+		return minStallTimeout
 	}
-	return max(silenceLimit, plainPauses*c.r.Route.PauseObjective)
+	return max(minStallTimeout, plainStallPauses*c.r.Route.PauseObjective)
 }
 
-// streamTry is how one attempt of a stream ended.
-type streamTry struct {
+// streamAttempt is how one attempt of a stream ended.
+type streamAttempt struct {
 	done   bool // the caller has its whole answer
 	notRun bool
-	// paid says that the retry budget was already asked for the next attempt.
-	paid   bool
-	err    error
-	answer *Answer
+	// retryCharged says that the retry budget was already asked for the next attempt.
+	retryCharged bool
+	err          error
+	response       *Answer
 }
 
-// once sends the stream to one group and passes on what comes back.
-func (c *streamCall) once(ctx context.Context, choice balance.Choice) streamTry {
+// attempt sends the stream to one group and passes on what comes back.
+func (c *streamCall) attempt(ctx context.Context, choice balance.Choice) streamAttempt {
 	c.tried[choice.Endpoint.ID] = true
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var stalled atomic.Bool
-	stop := c.watch(choice, func() { stalled.Store(true); cancel(errStalled) })
+	stop := c.watchStall(choice, func() { stalled.Store(true); cancel(errStalled) })
 	last := c.exchange(ctx, choice)
 	stop()
-	last.paid = stalled.Load()
+	last.retryCharged = stalled.Load()
 	c.mayHaveRun = c.mayHaveRun || redwinghall.KindOf[Kind](last.err) == Unknown
 	ok := last.err == nil && !last.notRun
 	now := time.Now()
@@ -148,106 +148,106 @@
 }
 
 // exchange sends the request and relays the answer's events.
-func (c *streamCall) exchange(ctx context.Context, choice balance.Choice) streamTry {
+func (c *streamCall) exchange(ctx context.Context, choice balance.Choice) streamAttempt {
 	lastEvent := ""
 	if c.hasID {
 		lastEvent = strconv.FormatInt(c.lastID, 10)
 	}
 	c.sent.Add(1)
-	answer, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forward(c.r, choice.Endpoint, lastEvent))
+	response, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forward(c.r, choice.Endpoint, lastEvent))
 	if err != nil {
 		if redwinghall.KindOf[Kind](err) == NotSent {
-			c.dials++
+			c.failedDials++
 			c.sent.Add(-1)
 		}
-		return streamTry{err: err}
+		return streamAttempt{err: err}
 	}
-	defer func() { _ = answer.Body.Close() }()
-	c.g.noteLimit(c.r, choice, answer)
-	if answer.Verdict.Load.Known {
-		choice.Visit.Told(time.Now(), answer.Verdict.Load.Running+answer.Verdict.Load.Waiting)
+	defer func() { _ = response.Body.Close() }()
+	c.g.recordLimit(c.r, choice, response)
+	if response.Verdict.Load.Known {
+		choice.Visit.Told(time.Now(), response.Verdict.Load.Running+response.Verdict.Load.Waiting)
 	}
 	switch {
-	case answer.Verdict.NotRun:
-		return streamTry{notRun: true, answer: answer}
-	case answer.Status != http.StatusOK:
-		return c.passFailure(answer)
-	case !answer.Verdict.Signed || answer.Verdict.RequestID != c.r.Ask.ID || answer.Verdict.Encoded:
-		return streamTry{err: redwinghall.NewOpError("streamCall.exchange", Unknown, errWrongAnswer)}
+	case response.Verdict.NotRun:
+		return streamAttempt{notRun: true, response: response}
+	case response.Status != http.StatusOK:
+		return c.forwardFailure(response)
+	case !response.Verdict.Signed || response.Verdict.RequestID != c.r.Ask.ID || response.Verdict.Encoded:
+		return streamAttempt{err: redwinghall.NewOpError("streamCall.exchange", Unknown, errWrongRequest)}
 	}
-	c.begin(answer)
-	err = c.relay(choice, answer)
+	c.sendHeaders(response)
+	err = c.relay(choice, response)
 	if err != nil {
-		return streamTry{err: redwinghall.NewOpError("streamCall.exchange", Unknown, err)}
+		return streamAttempt{err: redwinghall.NewOpError("streamCall.exchange", Unknown, err)}
 	}
-	first, took := c.started.Sub(c.r.Arrived), time.Since(c.r.Arrived)
+	first, took := c.firstEventAt.Sub(c.r.Arrived), time.Since(c.r.Arrived)
 	klog.InfoS("streamed", "request", c.r.Ask.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "zone", choice.Endpoint.Zone,
-		"running", choice.Running, "load_age", choice.Age, "predicted", choice.Predicted, "first", first, "expected", choice.Expected, "pause", c.slowest,
-		"took", took, "attempts", c.sent.Load(), "configuration", c.r.version())
-	c.g.Metrics.Streamed(c.r, first, c.slowest, took)
-	return streamTry{done: true}
+		"running", choice.Running, "load_age", choice.Age, "predicted", choice.Predicted, "first", first, "expected", choice.Expected, "pause", c.longestPause,
+		"took", took, "attempts", c.sent.Load(), "configuration", c.r.configVersion())
+	c.g.Metrics.Streamed(c.r, first, c.longestPause, took)
+	return streamAttempt{done: true}
 }
 
-// passFailure hands an endpoint's own failure to the caller, unless a second
+// forwardFailure hands an endpoint's own failure to the caller, unless a second
 // try may do better.
-func (c *streamCall) passFailure(answer *Answer) streamTry {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, wholeAnswer))
-	if err != nil || c.begun || promises(answer.Status) || answer.Status < http.StatusMultipleChoices {
-		return streamTry{err: redwinghall.NewOpError("streamCall.passFailure", Unknown, errors.Join(errUnusable, err))}
+func (c *streamCall) forwardFailure(answer *Answer) streamAttempt {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedResponse))
+	if err != nil || c.headersSent || statusMeansNotRun(answer.Status) || answer.Status < http.StatusMultipleChoices {
+		return streamAttempt{err: redwinghall.NewOpError("streamCall.forwardFailure", Unknown, errors.Join(errEndpointFailed, err))}
 	}
 	if answer.Status >= http.StatusInternalServerError && c.r.Idempotent() && c.sent.Load() < int64(c.r.Route.MaxAttempts) {
-		return streamTry{err: redwinghall.NewOpError("streamCall.passFailure", Unknown, errUnusable)}
+		return streamAttempt{err: redwinghall.NewOpError("streamCall.forwardFailure", Unknown, errEndpointFailed)}
 	}
-	c.g.pass(c.w, c.r, try{answer: answer, body: body})
-	return streamTry{done: true}
+	c.g.forwardResponse(c.w, c.r, plainAttempt{response: answer, body: body})
+	return streamAttempt{done: true}
 }
 
-var errUnusable = errors.New("the endpoint failed the request")
+var errEndpointFailed = errors.New("the endpoint failed the request")
 
-// begin sends the first endpoint's headers; a later one's are left out.
-func (c *streamCall) begin(answer *Answer) {
-	if c.begun {
+// sendHeaders sends the first endpoint's headers; a later one's are left out.
+func (c *streamCall) sendHeaders(response *Answer) {
+	if c.headersSent {
 		return
 	}
-	c.begun = true
-	platform.CopyAnswer(c.w.Header(), answer.Header)
-	c.w.WriteHeader(answer.Status)
+	c.headersSent = true
+	platform.CopyAnswer(c.w.Header(), response.Header)
+	c.w.WriteHeader(response.Status)
 }
 
 // relay passes events on until the answer ends. The error is nil only if it
 // ended whole.
-func (c *streamCall) relay(choice balance.Choice, answer *Answer) error {
-	events := newEventSplitter(answer.Body)
-	pace := c.usualPause()
+func (c *streamCall) relay(choice balance.Choice, response *Answer) error {
+	events := newEventSplitter(response.Body)
+	pace := c.predictedPause()
 	for {
 		event, err := events.next()
 		if errors.Is(err, io.EOF) {
-			return c.flushed()
+			return c.flushEvents()
 		}
 		if err != nil {
 			return err
 		}
 		now := time.Now()
 		choice.Visit.Event(now, pace)
-		if c.seen(event) {
+		if c.alreadySent(event) {
 			continue
 		}
-		c.noteTimes(now)
+		c.recordEventTime(now)
 		if _, err := c.w.Write(event); err != nil {
 			return err
 		}
 		if !events.buffered() {
-			if err := c.flushed(); err != nil {
+			if err := c.flushEvents(); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-func (c *streamCall) flushed() error { return c.flush.Flush() }
+func (c *streamCall) flushEvents() error { return c.flush.Flush() }
 
-// seen reports whether the caller already has an event, and notes it otherwise.
-func (c *streamCall) seen(event []byte) bool {
+// alreadySent reports whether the caller already has an event, and notes it otherwise.
+func (c *streamCall) alreadySent(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
 		return false
@@ -259,18 +259,18 @@
 	return false
 }
 
-func (c *streamCall) noteTimes(now time.Time) {
-	if c.started.IsZero() {
-		c.started = now
+func (c *streamCall) recordEventTime(now time.Time) {
+	if c.firstEventAt.IsZero() {
+		c.firstEventAt = now
 	} else {
-		c.slowest = max(c.slowest, now.Sub(c.last))
+		c.longestPause = max(c.longestPause, now.Sub(c.lastEventAt))
 	}
-	c.last = now
+	c.lastEventAt = now
 }
 
-// usualPause returns the pause between events that the engine's figures
+// predictedPause returns the pause between events that the engine's figures
 // predict for a number of running requests.
-func (c *streamCall) usualPause() func(int) time.Duration {
+func (c *streamCall) predictedPause() func(int) time.Duration {
 	if c.r.Service.Engine == nil {
 		return nil
 	}
@@ -282,26 +282,26 @@
 	return func(running int) time.Duration { return pace.Pass(running, 0) }
 }
 
-// again reports whether another group may get the stream.
-func (c *streamCall) again(ctx context.Context, last streamTry) bool {
+// shouldRetry reports whether another group may get the stream.
+func (c *streamCall) shouldRetry(ctx context.Context, last streamAttempt) bool {
 	now := time.Now()
 	switch {
 	case ctx.Err() != nil:
 		return false
 	case redwinghall.KindOf[Kind](last.err) == NotSent:
-		return c.dials < maxDials && c.r.Left(now) > leastLeft
+		return c.failedDials < maxDials && c.r.Left(now) > minRemaining
 	case last.notRun:
 		return c.g.mayRetry(c.r, int(c.sent.Load()), now)
 	case !c.resumable():
 		return false
 	}
-	return last.paid || c.g.mayRetry(c.r, int(c.sent.Load()), now)
+	return last.retryCharged || c.g.mayRetry(c.r, int(c.sent.Load()), now)
 }
 
 // resumable reports whether the stream may go on at another group from where
 // the caller is.
 func (c *streamCall) resumable() bool {
-	return c.r.Route.Kind == fleet.Streaming && c.r.Route.Resumable && (!c.begun || c.hasID || c.started.IsZero())
+	return c.r.Route.Kind == fleet.Streaming && c.r.Route.Resumable && (!c.headersSent || c.hasID || c.firstEventAt.IsZero())
 }
 
 // giveUp ends a stream that no endpoint will finish.
@@ -312,7 +312,7 @@
 	case ctx.Err() != nil:
 		c.refuse(refusal{status: http.StatusGatewayTimeout, reason: "timeout"})
 	case !c.mayHaveRun:
-		c.refuse(refusal{status: http.StatusServiceUnavailable, reason: "endpoint_busy", retryAfter: retryUnknown})
+		c.refuse(refusal{status: http.StatusServiceUnavailable, reason: "endpoint_busy", retryAfter: defaultRetryAfter})
 	default:
 		c.refuse(refusal{status: http.StatusBadGateway, reason: "stream_lost"})
 	}
@@ -321,7 +321,7 @@
 // refuse answers the caller, or breaks its stream off if it has begun: an
 // answer that ends early must not look complete.
 func (c *streamCall) refuse(why refusal) {
-	if c.begun {
+	if c.headersSent {
 		now := time.Now()
 		klog.InfoS("stream_broken_off", "request", c.r.Ask.ID, "reason", why.reason, "last_event", c.lastID, "attempts", c.sent.Load(),
 			"attempts_allowed", c.r.Route.MaxAttempts, "left", c.r.Left(now), "held", now.Sub(c.r.Arrived))
--- a/gateway/turned_away_test.go
+++ b/gateway/turned_away_test.go
@@ -16,7 +16,7 @@
 // While the store is away, a head whose group has closed looks open, and emptier than
 // the others: stream after stream goes there, is turned away, and uses its last try.
 func TestHeadThatTurnsAwayIsLeftAlone(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	var turnedAway atomic.Int32
 	s.endpoint("closed", "llm", func(w http.ResponseWriter, _ *http.Request) {
 		turnedAway.Add(1)
@@ -25,7 +25,7 @@
 	})
 	s.endpoint("open", "llm", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 3)
+		writeEvents(w, 1, 3)
 	})
 	for range 10 {
 		require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, "/stream/x")).status)
@@ -36,7 +36,7 @@
 // A node has just started and has read no entries yet. Its caller is told to come back
 // soon, not as late as where there is no endpoint.
 func TestNodeThatHasReadNoEntries(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	soon := s.do(s.request(http.MethodPost, "/stream/x"))
 	require.Equal(t, http.StatusServiceUnavailable, soon.status)
 	require.Contains(t, soon.body, "endpoints_unknown")
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -29,7 +29,7 @@
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	readBuffer        = 4 << 10
+	connBufferSize    = 4 << 10
 )
 
 // Kind says what a failed request to an endpoint means.
@@ -46,15 +46,15 @@
 // Error is a failed request to an endpoint.
 type Error = redwinghall.OpError[Kind]
 
-var errWrongAnswer = errors.New("the answer belongs to another request")
+var errWrongRequest = errors.New("the answer belongs to another request")
 
-// countedConn counts what was written, to tell requests that never left.
-type countedConn struct {
+// countingConn counts what was written, to tell requests that never left.
+type countingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.written.Add(int64(n))
 	return n, err
@@ -77,13 +77,13 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: conn}, nil
+			return &countingConn{Conn: conn}, nil
 		},
 		MaxIdleConnsPerHost: idlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
-		ReadBufferSize:      readBuffer,
-		WriteBufferSize:     readBuffer,
+		ReadBufferSize:      connBufferSize,
+		WriteBufferSize:     connBufferSize,
 	}}
 }
 
@@ -122,10 +122,10 @@
 
 // Send sends one request to an endpoint, once. Ending ctx closes the connection.
 func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.Forward) (*Answer, error) {
-	var conn *countedConn
+	var conn *countingConn
 	var before int64
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		if c, ok := info.Conn.(*countedConn); ok {
+		if c, ok := info.Conn.(*countingConn); ok {
 			conn, before = c, c.written.Load()
 		}
 	}})
@@ -149,7 +149,7 @@
 		// Guard: an endpoint may send a second, late answer on a kept connection,
 		// where the next request's answer is expected. The echoed id tells.
 		_ = answer.Body.Close()
-		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, errWrongAnswer)
+		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, errWrongRequest)
 	}
 	return &Answer{
 		Status: answer.StatusCode, Header: answer.Header, Body: answer.Body,
