--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -73,7 +73,7 @@
 }
 
 // recordLimit takes in what an answer says of its endpoint's limit.
-func (g *Gateway) recordLimit(r *Request, choice balance.Choice, response *Answer) {
+func (g *Gateway) recordLimit(r *Request, choice balance.Choice, response *Response) {
 	if response.Verdict.LimitUnreadable {
 		klog.InfoS("limit_unreadable", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID)
 		return
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -30,7 +30,7 @@
 
 // plainAttempt is one attempt's end, as far as the next step depends on it.
 type plainAttempt struct {
-	response *Answer
+	response *Response
 	body   []byte
 	err    error // of kind NotSent or Unknown
 	// notRun: the endpoint promised that it did not run the request.
@@ -146,7 +146,7 @@
 }
 
 // readResponse reads an answer as far as it is kept.
-func (c *plainCall) readResponse(answer *Answer) plainAttempt {
+func (c *plainCall) readResponse(answer *Response) plainAttempt {
 	last := plainAttempt{response: answer, notRun: answer.Verdict.NotRun}
 	var err error
 	last.body, err = io.ReadAll(io.LimitReader(answer.Body, maxBufferedResponse+1))
@@ -283,7 +283,7 @@
 }
 
 // signedFor reports whether a success is the endpoint's own: signed, and for this request.
-func signedFor(r *Request, response *Answer) bool {
+func signedFor(r *Request, response *Response) bool {
 	return response.Verdict.Signed && response.Verdict.RequestID == r.Ask.ID
 }
 
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -112,7 +112,7 @@
 	// retryCharged says that the retry budget was already asked for the next attempt.
 	retryCharged bool
 	err          error
-	response       *Answer
+	response       *Response
 }
 
 // attempt sends the stream to one group and passes on what comes back.
@@ -190,7 +190,7 @@
 
 // forwardFailure hands an endpoint's own failure to the caller, unless a second
 // try may do better.
-func (c *streamCall) forwardFailure(answer *Answer) streamAttempt {
+func (c *streamCall) forwardFailure(answer *Response) streamAttempt {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedResponse))
 	if err != nil || c.headersSent || statusMeansNotRun(answer.Status) || answer.Status < http.StatusMultipleChoices {
 		return streamAttempt{err: redwinghall.NewOpError("streamCall.forwardFailure", Unknown, errors.Join(errEndpointFailed, err))}
@@ -205,7 +205,7 @@
 var errEndpointFailed = errors.New("the endpoint failed the request")
 
 // sendHeaders sends the first endpoint's headers; a later one's are left out.
-func (c *streamCall) sendHeaders(response *Answer) {
+func (c *streamCall) sendHeaders(response *Response) {
 	if c.headersSent {
 		return
 	}
@@ -216,7 +216,7 @@
 
 // relay passes events on until the answer ends. The error is nil only if it
 // ended whole.
-func (c *streamCall) relay(choice balance.Choice, response *Answer) error {
+func (c *streamCall) relay(choice balance.Choice, response *Response) error {
 	events := newEventSplitter(response.Body)
 	pace := c.predictedPause()
 	for {
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -111,8 +111,8 @@
 
 func (b *onceBody) Close() error { return nil }
 
-// Answer is an endpoint's answer; its body must be closed.
-type Answer struct {
+// Response is an endpoint's answer; its body must be closed.
+type Response struct {
 	Status  int
 	Header  http.Header
 	Body    io.ReadCloser
@@ -121,7 +121,7 @@
 }
 
 // Send sends one request to an endpoint, once. Ending ctx closes the connection.
-func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.Forward) (*Answer, error) {
+func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.Forward) (*Response, error) {
 	var conn *countingConn
 	var before int64
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -151,7 +151,7 @@
 		_ = answer.Body.Close()
 		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, errWrongRequest)
 	}
-	return &Answer{
+	return &Response{
 		Status: answer.StatusCode, Header: answer.Header, Body: answer.Body,
 		Length: answer.ContentLength, Verdict: verdict,
 	}, nil
