--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -49,8 +49,8 @@
 
 // Placer asks zones to choose one of their groups for a stream.
 type Placer interface {
-	// Dispatched reports whether another node chooses for the nodes of this zone.
-	Dispatched(now time.Time) bool
+	// HasDispatcher reports whether another node chooses for the nodes of this zone.
+	HasDispatcher(now time.Time) bool
 	// Place asks a zone. ok is false if it gave no answer.
 	Place(ctx context.Context, zone string, request fleet.PlacementRequest) (placement fleet.Placement, ok bool)
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -49,7 +49,7 @@
 	dispatched bool
 }
 
-func (p *fakePlacer) Dispatched(time.Time) bool { return p.dispatched }
+func (p *fakePlacer) HasDispatcher(time.Time) bool { return p.dispatched }
 
 func (p *fakePlacer) Place(_ context.Context, zone string, _ fleet.PlacementRequest) (fleet.Placement, bool) {
 	p.asked = append(p.asked, zone)
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -15,7 +15,7 @@
 // it knows itself.
 func (c *streamCall) chooseGroup(ctx context.Context, now time.Time, ask balance.Ask) (balance.Choice, *balance.Refusal) {
 	heads := c.r.view.Heads(c.r.Service.Name, c.r.Ask.Model)
-	if c.g.Placer == nil || !c.g.Placer.Dispatched(now) {
+	if c.g.Placer == nil || !c.g.Placer.HasDispatcher(now) {
 		return c.chooseByZones(ctx, now, heads, ask)
 	}
 	placement, answered := c.askDispatcher(ctx, heads, ask)
--- a/node/placement.go
+++ b/node/placement.go
@@ -26,8 +26,8 @@
 
 func newZonePlacer(n *Node) *zonePlacer { return &zonePlacer{node: n, quiet: map[string]time.Time{}} }
 
-// Dispatched implements gateway.Placer.
-func (p *zonePlacer) Dispatched(now time.Time) bool {
+// HasDispatcher implements gateway.Placer.
+func (p *zonePlacer) HasDispatcher(now time.Time) bool {
 	own := p.node.settings
 	one, ok := p.node.dispatcher(now, own.Zone)
 	return ok && one.Name != own.Node
