--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -40,7 +40,7 @@
 	Placer Placer
 	// Lender gives permits for endpoints that named a limit; nil where this node is the
 	// only one.
-	Lender  Lender
+	Lender  PermitIssuer
 	Metrics *Metrics
 	// Stopping returns the planned stop of this node; nil stands for a node that
 	// never stops.
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -17,8 +17,8 @@
 // fullLimitShare is the part of a limit that the only node there is lends to itself.
 const fullLimitShare = 1
 
-// Lender gives permits for endpoints that named a limit.
-type Lender interface {
+// PermitIssuer gives permits for endpoints that named a limit.
+type PermitIssuer interface {
 	// Permit asks for one request to an endpoint. ok is false if nobody gave an answer.
 	Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (permit balance.Permit, ok bool)
 }
--- a/node/permit.go
+++ b/node/permit.go
@@ -15,7 +15,7 @@
 // lender asks for permits for endpoints that named a limit.
 type lender struct{ node *Node }
 
-var _ gateway.Lender = lender{}
+var _ gateway.PermitIssuer = lender{}
 
 // Permit implements gateway.Lender. The first node of the endpoint's zone that gives
 // answers lends. Who can't ask it sends nothing there.
