--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -38,9 +38,9 @@
 	Stalled func(endpointID string)
 	// Placer asks other zones before streams go there; it may be nil.
 	Placer Placer
-	// Lender gives permits for endpoints that named a limit; nil where this node is the
+	// PermitIssuer gives permits for endpoints that named a limit; nil where this node is the
 	// only one.
-	Lender  PermitIssuer
+	PermitIssuer  PermitIssuer
 	Metrics *Metrics
 	// Stopping returns the planned stop of this node; nil stands for a node that
 	// never stops.
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -57,10 +57,10 @@
 	id := choice.Endpoint.ID
 	known := g.Tracker.Limit(time.Now(), id)
 	permit, ok := balance.Permit{}, true
-	if g.Lender == nil {
+	if g.PermitIssuer == nil {
 		permit = g.Tracker.Lend(time.Now(), known, fullLimitShare)
 	} else {
-		permit, ok = g.Lender.Permit(ctx, choice.Endpoint, known)
+		permit, ok = g.PermitIssuer.Permit(ctx, choice.Endpoint, known)
 	}
 	now := time.Now()
 	if ok {
--- a/node/node.go
+++ b/node/node.go
@@ -97,7 +97,7 @@
 		Shares:   n.shares,
 		Stalled:  n.suspect,
 		Placer:   newZonePlacer(n),
-		Lender:   lender{n},
+		PermitIssuer:   lender{n},
 		Stopping: n.plannedStop,
 	})
 	n.follower = directory.NewFollower(n.source, n.book, n.manager.Pending).WithKnown(n.table.Known())
