--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -34,8 +34,8 @@
 	Upstream *Upstream
 	// Shares returns this node's part at the moment.
 	Shares func() Shares
-	// Stalled is told of a group in which nothing moves.
-	Stalled func(endpointID string)
+	// ReportStall is told of a group in which nothing moves.
+	ReportStall func(endpointID string)
 	// Placer asks other zones before streams go there; it may be nil.
 	Placer Placer
 	// PermitIssuer gives permits for endpoints that named a limit; nil where this node is the
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -103,7 +103,7 @@
 	s.settings = fleet.Settings{Zone: "a", Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 100}}
 	g := gateway.New(gateway.Options{
 		Settings: func() fleet.Settings { return s.settings }, Book: s.book, Tracker: s.tracker, Upstream: gateway.NewUpstream(),
-		Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return s.shares }, Stalled: func(string) {},
+		Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return s.shares }, ReportStall: func(string) {},
 		Placer: &s.placer, Stopping: func() gateway.Stop { return s.stop },
 	})
 	s.server = httptest.NewServer(g)
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -47,7 +47,7 @@
 	if !w.reported {
 		w.reported = true
 		w.call.g.Tracker.Unreachable(now, w.choice.Endpoint.ID)
-		w.call.g.Stalled(w.choice.Endpoint.ID)
+		w.call.g.ReportStall(w.choice.Endpoint.ID)
 	}
 	if w.call.mayResumeElsewhere(now) {
 		w.cancel()
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -132,7 +132,7 @@
 	switch {
 	case redwinghall.KindOf[Kind](last.err) == NotSent && ctx.Err() == nil:
 		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
-		c.g.Stalled(choice.Endpoint.ID)
+		c.g.ReportStall(choice.Endpoint.ID)
 	case last.notRun && c.r.Service.Engine != nil:
 		// Guard: while the store is away, a head whose group has closed looks open here,
 		// and emptier than all others. Streams would go there first, one after the
--- a/node/node.go
+++ b/node/node.go
@@ -95,7 +95,7 @@
 	n.gateway = gateway.New(gateway.Options{
 		Settings: n.inForce, Book: n.book, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
 		Shares:   n.shares,
-		Stalled:  n.suspect,
+		ReportStall:  n.suspect,
 		Placer:   newZonePlacer(n),
 		PermitIssuer:   lender{n},
 		Stopping: n.plannedStop,
