--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -101,7 +101,7 @@
 // Only the calls of one route resemble each other: a service may answer
 // look-ups at once and take seconds for bookings.
 func (c *plainCall) fitsPlannedStop(now time.Time) bool {
-	return c.g.stop().Takes(now, c.g.callTimes.longest(c.r.Route.Name), c.r.Deadline)
+	return c.g.stop().Accepts(now, c.g.callTimes.longest(c.r.Route.Name), c.r.Deadline)
 }
 
 // recordCallTime remembers how long the call took, whatever came of it.
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -46,7 +46,7 @@
 	unnoticedMargin = 0.1
 )
 
-// Takes reports whether the node takes a request now that is expected to take so
+// Accepts reports whether the node takes a request now that is expected to take so
 // long at most (0: unknown), and surely ends by its deadline.
 //
 // Guard: a stopping node that takes what it can't finish cuts it when its grace
@@ -55,7 +55,7 @@
 // ones, so a stop that only waits for the balancer takes requests up to its
 // end. What is taken here either ends in time by its own deadline, or is
 // expected to, by the longest answer that it may get.
-func (s Stop) Takes(now time.Time, expected time.Duration, deadline time.Time) bool {
+func (s Stop) Accepts(now time.Time, expected time.Duration, deadline time.Time) bool {
 	if !s.Active() || !deadline.After(s.End) {
 		return true
 	}
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -40,9 +40,9 @@
 		{"at the end", 7 * time.Second, time.Millisecond, long, false},
 	} {
 		now := begun.Add(one.at)
-		require.Equal(t, one.takes, stop.Takes(now, one.expected, now.Add(one.left)), one.name)
+		require.Equal(t, one.takes, stop.Accepts(now, one.expected, now.Add(one.left)), one.name)
 	}
-	require.True(t, gateway.Stop{}.Takes(begun, 0, begun.Add(long)), "no stop is under way")
+	require.True(t, gateway.Stop{}.Accepts(begun, 0, begun.Add(long)), "no stop is under way")
 }
 
 // A VM is suspended for two seconds while its node stops, and the operators'
@@ -57,8 +57,8 @@
 	require.Equal(t, stop, awake)
 	require.Equal(t, stop.End.Add(-2*time.Second), suspended.End)
 	const stream, patience = 5 * time.Second, 20 * time.Second
-	require.True(t, awake.Takes(now, stream, now.Add(patience)))
-	require.False(t, suspended.Takes(now, stream, now.Add(patience)))
+	require.True(t, awake.Accepts(now, stream, now.Add(patience)))
+	require.False(t, suspended.Accepts(now, stream, now.Add(patience)))
 	require.Equal(t, stop, stop.At(now, boot), "clocks that are read one after the other differ a little")
 }
 
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -66,7 +66,7 @@
 			call.refuse(g.noEndpointRefusal(refused))
 			return
 		}
-		if now, stop := time.Now(), g.stop(); !call.headersSent && !stop.Takes(now, choice.Expected, r.Deadline) {
+		if now, stop := time.Now(), g.stop(); !call.headersSent && !stop.Accepts(now, choice.Expected, r.Deadline) {
 			choice.Visit.Withdraw()
 			call.refuse(stop.refusal(now, choice.Expected))
 			return
