--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -21,13 +21,13 @@
 // Active reports whether the node is stopping.
 func (s Stop) Active() bool { return !s.End.IsZero() }
 
-// At returns the stop as it stands at a moment, which is told by both clocks.
+// AdjustForSuspend returns the stop as it stands at a moment, which is told by both clocks.
 //
 // Guard: the steady clock stands still while the VM is suspended, and the
 // operators' grace goes on. A stop that counted by that clock alone would take
 // what it can't finish, and be killed. What the boot clock ran ahead is taken
 // off.
-func (s Stop) At(now, boot time.Time) Stop {
+func (s Stop) AdjustForSuspend(now, boot time.Time) Stop {
 	if !s.Active() || s.Boot.IsZero() {
 		return s
 	}
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -53,13 +53,13 @@
 	begun, boot := time.Unix(1000, 0), time.Unix(50, 0)
 	stop := gateway.Stop{Begun: begun, Boot: boot, Noticed: begun.Add(2 * time.Second), End: begun.Add(7 * time.Second)}
 	now := begun.Add(time.Second)
-	awake, suspended := stop.At(now, boot.Add(time.Second)), stop.At(now, boot.Add(3*time.Second))
+	awake, suspended := stop.AdjustForSuspend(now, boot.Add(time.Second)), stop.AdjustForSuspend(now, boot.Add(3*time.Second))
 	require.Equal(t, stop, awake)
 	require.Equal(t, stop.End.Add(-2*time.Second), suspended.End)
 	const stream, patience = 5 * time.Second, 20 * time.Second
 	require.True(t, awake.Accepts(now, stream, now.Add(patience)))
 	require.False(t, suspended.Accepts(now, stream, now.Add(patience)))
-	require.Equal(t, stop, stop.At(now, boot), "clocks that are read one after the other differ a little")
+	require.Equal(t, stop, stop.AdjustForSuspend(now, boot), "clocks that are read one after the other differ a little")
 }
 
 // Callers of a node that stops: a stream that would outlast it is refused
--- a/node/stop.go
+++ b/node/stop.go
@@ -27,7 +27,7 @@
 // plannedStop returns the stop that is under way, the zero value if there is none.
 func (n *Node) plannedStop() gateway.Stop {
 	if stop := n.stopping.Load(); stop != nil {
-		return stop.At(time.Now(), kernel.BootTime())
+		return stop.AdjustForSuspend(time.Now(), kernel.BootTime())
 	}
 	return gateway.Stop{}
 }
