--- a/admit/gate.go
+++ b/admit/gate.go
@@ -62,10 +62,10 @@
 	return &Gate[T]{acquireSlot: source, queues: map[string]*queue[T]{}}
 }
 
-// Enter returns one unit of room, or a refusal. It waits no longer than ctx,
+// Acquire returns one unit of room, or a refusal. It waits no longer than ctx,
 // and refuses at once when the queue is full or when the wait seen lately is
 // longer than the time that the request has left.
-func (g *Gate[T]) Enter(ctx context.Context, now time.Time, account redwinghall.ClientAccount) (T, error) {
+func (g *Gate[T]) Acquire(ctx context.Context, now time.Time, account redwinghall.ClientAccount) (T, error) {
 	var zero T
 	g.mu.Lock()
 	if g.waiting == 0 {
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -32,7 +32,7 @@
 func startWaiters(g *kernel.Group, gate *admit.Gate[int], a redwinghall.ClientAccount, count int, order *[]string) {
 	for range count {
 		g.Go("enter", func(ctx context.Context) error {
-			_, err := gate.Enter(ctx, time.Now(), a)
+			_, err := gate.Acquire(ctx, time.Now(), a)
 			if err == nil {
 				*order = append(*order, a.ID)
 			}
@@ -112,12 +112,12 @@
 		var order []string
 		startWaiters(g, gate, account("a", 1, 3), 3, &order)
 		synctest.Wait()
-		_, err := gate.Enter(t.Context(), time.Now(), account("a", 1, 3))
+		_, err := gate.Acquire(t.Context(), time.Now(), account("a", 1, 3))
 		require.Equal(t, admit.QueueFull, redwinghall.KindOf[admit.Kind](err))
 
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = gate.Enter(ctx, time.Now(), account("b", 1, 3))
+		_, err = gate.Acquire(ctx, time.Now(), account("b", 1, 3))
 		require.Equal(t, admit.DeadlinePassed, redwinghall.KindOf[admit.Kind](err))
 		require.Equal(t, 3, gate.Waiting(), "who gave up does not wait")
 		for range 3 {
@@ -146,7 +146,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		before := time.Now()
-		_, err := gate.Enter(ctx, before, a)
+		_, err := gate.Acquire(ctx, before, a)
 		require.Equal(t, admit.DeadlineTooShort, redwinghall.KindOf[admit.Kind](err))
 		require.Equal(t, before, time.Now(), "at once")
 		require.GreaterOrEqual(t, gate.RetryAfter(before), 10*time.Second)
@@ -166,7 +166,7 @@
 		a := account("a", 1, 10)
 		for range 50 {
 			r.free = 1
-			_, err := gate.Enter(t.Context(), time.Now(), a)
+			_, err := gate.Acquire(t.Context(), time.Now(), a)
 			require.NoError(t, err)
 			time.Sleep(time.Minute)
 		}
@@ -174,7 +174,7 @@
 		g.Go("enter", func(ctx context.Context) error {
 			ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 			defer cancel()
-			_, err := gate.Enter(ctx, time.Now(), a)
+			_, err := gate.Acquire(ctx, time.Now(), a)
 			return err
 		})
 		synctest.Wait()
@@ -199,7 +199,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		g.Go("gives up", func(context.Context) error {
-			_, err := gate.Enter(ctx, time.Now(), a)
+			_, err := gate.Acquire(ctx, time.Now(), a)
 			require.Equal(t, admit.DeadlinePassed, redwinghall.KindOf[admit.Kind](err))
 			return nil
 		})
@@ -226,7 +226,7 @@
 	a := account("a", 1, 10)
 	now := time.Now()
 	for b.Loop() {
-		if _, err := gate.Enter(b.Context(), now, a); err != nil {
+		if _, err := gate.Acquire(b.Context(), now, a); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/caller/chat.go
+++ b/caller/chat.go
@@ -95,5 +95,5 @@
 			return slot, nil
 		}
 	}
-	return model.Gate.Enter(ctx, now, r.account)
+	return model.Gate.Acquire(ctx, now, r.account)
 }
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -168,7 +168,7 @@
 // waitForGrant waits for a group that is whole but cold, which nobody may feed
 // yet: its owner asks for it within moments.
 func (l *relay) waitForGrant(ctx context.Context) (target, error) {
-	slot, err := l.model.Gate.Enter(ctx, time.Now(), l.request.account)
+	slot, err := l.model.Gate.Acquire(ctx, time.Now(), l.request.account)
 	if err != nil {
 		return target{}, err
 	}
