--- a/admit/gate.go
+++ b/admit/gate.go
@@ -1,6 +1,6 @@
-// Package admit decides who goes first when requests must wait: a bounded
-// queue for each client account and class, weighted fair between them, that
-// refuses at once what cannot be served in time.
+// Package admit implements admission control. Requests wait in bounded queues, one
+// per client account and class, that are served by weighted fair queueing. Requests
+// that cannot be served before their deadline are refused at once.
 package admit
 
 import (
@@ -11,44 +11,44 @@
 	"redwinghall"
 )
 
-// Kind says why a request was refused.
+// Kind is the reason for a refusal.
 type Kind string
 
-// The kinds of refusal.
+// The reasons for a refusal.
 const (
 	QueueFull        Kind = "queue_full"
 	DeadlineTooShort Kind = "deadline_too_short"
 	DeadlinePassed   Kind = "deadline_passed"
 )
 
-// Error is a refusal.
+// Error is a refused request.
 type Error = redwinghall.OpError[Kind]
 
-// interactiveFactor is how much more an interactive account's weight counts
-// than a batch account's.
+// interactiveFactor multiplies the weight of interactive accounts relative to batch
+// accounts.
 const interactiveFactor = 8
 
-// smoothing is the weight of the newest interval in the mean time between
-// grants.
+// smoothing is the weight of the newest sample in the moving average of the interval
+// between grants.
 const smoothing = 0.2
 
-// Gate lets requests through while its source has room, and queues the rest.
+// Gate admits requests while slots are free, and queues the rest.
 type Gate[T any] struct {
 	mu          sync.Mutex
-	acquireSlot func() (T, bool) // takes one unit of room
+	acquireSlot func() (T, bool) // acquires a free slot, if any
 	queues      map[string]*queue[T]
 	waiting     int
 	virtualTime float64
-	// lastGrant is when a waiting request was last let through; zero while
-	// nobody waits. Only intervals between such grants tell the service rate:
-	// with nobody waiting they tell how often requests arrive.
+	// lastGrant is when a waiting request was last granted a slot; zero if none is
+	// waiting. Only intervals between such grants reflect the service rate: while no
+	// request waits, they reflect the arrival rate.
 	lastGrant     time.Time
 	grantInterval time.Duration
 }
 
 type queue[T any] struct {
 	weight     float64
-	finishTime float64 // virtual time at which its next request is due
+	finishTime float64 // virtual finish time of its first request
 	waiters    []*waiter[T]
 }
 
@@ -57,31 +57,32 @@
 	granted bool
 }
 
-// NewGate returns a gate over a source of room. source must not block.
-func NewGate[T any](source func() (T, bool)) *Gate[T] {
-	return &Gate[T]{acquireSlot: source, queues: map[string]*queue[T]{}}
+// NewGate returns a gate that takes slots from acquireSlot, which returns false if
+// none is free and must not block.
+func NewGate[T any](acquireSlot func() (T, bool)) *Gate[T] {
+	return &Gate[T]{acquireSlot: acquireSlot, queues: map[string]*queue[T]{}}
 }
 
-// Acquire returns one unit of room, or a refusal. It waits no longer than ctx,
-// and refuses at once when the queue is full or when the wait seen lately is
-// longer than the time that the request has left.
+// Acquire returns a slot, or a refusal. It waits until ctx is done at most, and
+// refuses at once if the queue is full or if the expected wait exceeds the time until
+// the deadline of ctx.
 func (g *Gate[T]) Acquire(ctx context.Context, now time.Time, account redwinghall.ClientAccount) (T, error) {
 	var zero T
 	g.mu.Lock()
 	if g.waiting == 0 {
-		if room, ok := g.acquireSlot(); ok {
+		if slot, ok := g.acquireSlot(); ok {
 			g.mu.Unlock()
-			return room, nil
+			return slot, nil
 		}
 	}
 	q := g.queueFor(account)
 	if len(q.waiters) >= account.MaxQueued {
 		g.mu.Unlock()
-		return zero, redwinghall.NewOpError("Gate.Enter", QueueFull, nil)
+		return zero, redwinghall.NewOpError("Gate.Acquire", QueueFull, nil)
 	}
 	if deadline, ok := ctx.Deadline(); ok && g.expectedWait(now, q) > deadline.Sub(now) {
 		g.mu.Unlock()
-		return zero, redwinghall.NewOpError("Gate.Enter", DeadlineTooShort, nil)
+		return zero, redwinghall.NewOpError("Gate.Acquire", DeadlineTooShort, nil)
 	}
 	w := &waiter[T]{done: make(chan T, 1)}
 	if len(q.waiters) == 0 {
@@ -95,8 +96,8 @@
 
 func (g *Gate[T]) wait(ctx context.Context, q *queue[T], w *waiter[T]) (T, error) {
 	select {
-	case room := <-w.done:
-		return room, nil
+	case slot := <-w.done:
+		return slot, nil
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
@@ -114,25 +115,25 @@
 	if g.waiting == 0 {
 		g.lastGrant = time.Time{}
 	}
-	var none T
-	return none, redwinghall.NewOpError("Gate.wait", DeadlinePassed, ctx.Err())
+	var zero T
+	return zero, redwinghall.NewOpError("Gate.wait", DeadlinePassed, ctx.Err())
 }
 
-// Wake hands free room to those who wait. Call it whenever room may have
-// appeared: a request ended, or a group became usable.
+// Wake grants free slots to waiting requests. Call it whenever a slot may have become
+// free: a request ended, or a group became usable.
 func (g *Gate[T]) Wake(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for g.waiting > 0 {
-		room, ok := g.acquireSlot()
+		slot, ok := g.acquireSlot()
 		if !ok {
 			return
 		}
-		g.grant(now, g.next(), room)
+		g.grant(now, g.next(), slot)
 	}
 }
 
-func (g *Gate[T]) grant(now time.Time, q *queue[T], room T) {
+func (g *Gate[T]) grant(now time.Time, q *queue[T], slot T) {
 	w := q.waiters[0]
 	q.waiters = q.waiters[1:]
 	g.waiting--
@@ -142,10 +143,11 @@
 	}
 	g.recordGrant(now)
 	w.granted = true
-	w.done <- room
+	w.done <- slot
 }
 
-// next returns the queue whose head is due first; one exists.
+// next returns the non-empty queue with the earliest virtual finish time. At least
+// one must be non-empty.
 func (g *Gate[T]) next() *queue[T] {
 	var best *queue[T]
 	for _, q := range g.queues {
@@ -156,15 +158,15 @@
 	return best
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (g *Gate[T]) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.waiting
 }
 
-// RetryAfter returns how long the present queue will take at the rate seen
-// lately, at least one second.
+// RetryAfter returns the time in which the present queue will drain at the recent
+// service rate, at least one second.
 func (g *Gate[T]) RetryAfter(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -185,8 +187,8 @@
 	return q
 }
 
-// expectedWait is the time that a new request of the queue will wait: those
-// ahead of it in its own queue, scaled by the queue's share of the weights.
+// expectedWait returns the expected wait of a new request of q: the requests ahead of
+// it in q, scaled by the share of q in the weights of all non-empty queues.
 func (g *Gate[T]) expectedWait(now time.Time, q *queue[T]) time.Duration {
 	total := 0.0
 	for _, one := range g.queues {
@@ -198,9 +200,10 @@
 	return time.Duration(ahead * float64(g.currentInterval(now)))
 }
 
-// currentInterval is the mean time between grants lately; zero while unknown, so
-// that nothing is refused on a guess. A pause that is longer than the mean
-// counts as it is: groups may have stopped taking work.
+// currentInterval returns the moving average of the interval between grants, 0 while
+// it is unknown, so that no request is refused on a guess. If the time since the last
+// grant is longer than the average, it is returned instead: groups may have stopped
+// accepting work.
 func (g *Gate[T]) currentInterval(now time.Time) time.Duration {
 	if g.lastGrant.IsZero() || g.grantInterval == 0 {
 		return g.grantInterval
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -13,7 +13,7 @@
 	"redwinghall/kernel"
 )
 
-// slots is a source with a number of units.
+// slots is a source of slots.
 type slots struct{ free int }
 
 func (r *slots) take() (int, bool) {
@@ -28,7 +28,8 @@
 	return redwinghall.ClientAccount{ID: id, Class: redwinghall.ClassInteractive, Weight: weight, MaxQueued: queued}
 }
 
-// startWaiters enters count requests of an account and notes who gets through.
+// startWaiters starts count requests of an account and appends the account to order
+// for each that is admitted.
 func startWaiters(g *kernel.Group, gate *admit.Gate[int], a redwinghall.ClientAccount, count int, order *[]string) {
 	for range count {
 		g.Go("enter", func(ctx context.Context) error {
@@ -41,16 +42,15 @@
 	}
 }
 
-// freeSlot frees one unit and waits until it is used.
+// freeSlot frees one slot and waits until it is used.
 func freeSlot(gate *admit.Gate[int], r *slots) {
 	r.free++
 	gate.Wake(time.Now())
 	synctest.Wait()
 }
 
-// A reports job floods the router before dawn, and drivers wait behind it.
-// Order: many requests of one account queue, then a few of another.
-// Cause: one queue for all, first in, first out.
+// One account queues many requests, then another queues a few. The few must not wait
+// for all of the first account, as they would in a single FIFO queue.
 func TestFloodingAccountDoesNotStarveAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestWeightsShareTheRoom(t *testing.T) {
+func TestWeightsDivideSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
 		gate := admit.NewGate(r.take)
@@ -119,7 +119,7 @@
 		defer cancel()
 		_, err = gate.Acquire(ctx, time.Now(), account("b", 1, 3))
 		require.Equal(t, admit.DeadlinePassed, redwinghall.KindOf[admit.Kind](err))
-		require.Equal(t, 3, gate.Waiting(), "who gave up does not wait")
+		require.Equal(t, 3, gate.Waiting(), "a request that timed out must leave the queue")
 		for range 3 {
 			freeSlot(gate, r)
 		}
@@ -127,10 +127,10 @@
 	})
 }
 
-// A road crew waits ten seconds to read that there is no time left.
-// Order: one request passes each second; a request with two seconds left
-// queues behind ten others. Cause: nobody compared the wait with the time left.
-func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
+// A request with two seconds left arrives while ten others wait and one is served
+// each second. It must be refused at once, not after its deadline. This fails if the
+// expected wait is not compared with the remaining time.
+func TestRequestThatCannotMeetItsDeadlineIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
 		gate := admit.NewGate(r.take)
@@ -148,7 +148,7 @@
 		before := time.Now()
 		_, err := gate.Acquire(ctx, before, a)
 		require.Equal(t, admit.DeadlineTooShort, redwinghall.KindOf[admit.Kind](err))
-		require.Equal(t, before, time.Now(), "at once")
+		require.Equal(t, before, time.Now(), "must be refused without waiting")
 		require.GreaterOrEqual(t, gate.RetryAfter(before), 10*time.Second)
 		for range 15 {
 			freeSlot(gate, r)
@@ -157,9 +157,9 @@
 	})
 }
 
-// A lone request after a quiet night must not be refused because requests
-// were rare before.
-func TestQuietTimesSayNothingOfTheWait(t *testing.T) {
+// A request after an idle period must not be refused because the intervals between
+// earlier requests were long.
+func TestIdleTimeIsNoServiceTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
 		gate := admit.NewGate(r.take)
@@ -183,11 +183,10 @@
 	})
 }
 
-// After a pause in which nobody waited, a request with seconds left is refused
-// as hopeless.
-// Order: two requests pass a second apart; the third gives up; an hour later
-// others wait. Cause: the hour counted as the time that one request takes.
-func TestWhoGivesUpLeavesNoTrace(t *testing.T) {
+// Two requests are served a second apart, a third reaches its deadline while waiting,
+// and an hour later new ones wait. The hour must not count as a service time, or a
+// request with seconds left is refused.
+func TestTimedOutRequestDoesNotSkewServiceRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
 		gate := admit.NewGate(r.take)
@@ -198,7 +197,7 @@
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		g.Go("gives up", func(context.Context) error {
+		g.Go("times out", func(context.Context) error {
 			_, err := gate.Acquire(ctx, time.Now(), a)
 			require.Equal(t, admit.DeadlinePassed, redwinghall.KindOf[admit.Kind](err))
 			return nil
@@ -221,7 +220,7 @@
 	})
 }
 
-func BenchmarkEnter(b *testing.B) {
+func BenchmarkAcquire(b *testing.B) {
 	gate := admit.NewGate(func() (int, bool) { return 1, true })
 	a := account("a", 1, 10)
 	now := time.Now()
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -14,7 +14,7 @@
 
 const benchEvents = 400
 
-// cpuTime returns the cpuTime time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
@@ -22,10 +22,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Streams of 400 events, through a loop that only copies and through the
-// gateway; caller, relay and endpoint are in this one process. The difference
-// is what the gateway adds to an event: 2.9 us of processor time before and
-// after, as measured when this was written (32.0 us copied, 34.9 us relayed).
+// Streams 400 events through a loop that only copies, and through the gateway;
+// caller, relay and endpoint share this one process. The difference is the CPU time
+// that the gateway adds per event: 2.9 us when this benchmark was written (32.0 us
+// copied, 34.9 us relayed).
 func BenchmarkEvent(b *testing.B) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
@@ -51,18 +51,18 @@
 	}
 }
 
-// copyStream is the least that can stand between a caller and an endpoint.
+// copyStream is the minimal relay between a caller and an endpoint.
 func copyStream(b *testing.B, w http.ResponseWriter, target string, r *http.Request) {
 	out, err := http.NewRequestWithContext(r.Context(), r.Method, target+r.URL.Path, nil)
 	require.NoError(b, err)
 	out.Header = r.Header
-	answer, err := http.DefaultTransport.RoundTrip(out)
+	response, err := http.DefaultTransport.RoundTrip(out)
 	require.NoError(b, err)
-	defer func() { _ = answer.Body.Close() }() // it was read whole
+	defer func() { _ = response.Body.Close() }() // it was read completely
 	buffer := make([]byte, 4<<10)
 	for {
-		n, err := answer.Body.Read(buffer)
-		_, _ = w.Write(buffer[:n]) // the caller counts what came
+		n, err := response.Body.Read(buffer)
+		_, _ = w.Write(buffer[:n]) // the caller checks what it received
 		w.(http.Flusher).Flush()
 		if err != nil {
 			require.ErrorIs(b, err, io.EOF)
--- a/gateway/call_times.go
+++ b/gateway/call_times.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// callTimes knows how long the longest calls of each route of a plain service
-// take. It is safe for concurrent use.
+// callTimes tracks a decaying maximum of the call duration of each route of a plain
+// service. It is safe for concurrent use.
 type callTimes struct {
 	mu      sync.Mutex
 	byRoute map[string]time.Duration
@@ -15,15 +15,17 @@
 func newCallTimes() *callTimes { return &callTimes{byRoute: map[string]time.Duration{}} }
 
 const (
-	// callTimesDecay is the part of a longest call that each shorter one takes
-	// away: a route that has become faster is believed after some dozens.
+	// callTimesDecay sets how fast the maximum decays: each shorter call takes away
+	// 1/callTimesDecay of it, so a route that has become faster is reflected after
+	// some dozens of calls.
 	callTimesDecay = 64
-	// maxCallTimeRoutes bounds how many routes are remembered: configurations may
-	// bring new names for good.
+	// maxCallTimeRoutes bounds the map, since new configurations may keep adding
+	// route names.
 	maxCallTimeRoutes = 1000
 )
 
-// record takes in how long a call took, from its request to its whole answer.
+// record adds the duration of a call, from the arrival of its request to the end of
+// its response.
 func (c *callTimes) record(route string, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,7 +36,7 @@
 	c.byRoute[route] = max(took, longest-longest/callTimesDecay)
 }
 
-// longest returns how long the longest calls of a route take, 0 if none was seen.
+// longest returns the decaying maximum of a route, 0 if it has had no call.
 func (c *callTimes) longest(route string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -7,27 +7,26 @@
 	"strconv"
 )
 
-// Bounds of one event of a stream.
+// Buffer sizes for one event of a stream.
 const (
 	initialEventBuffer = 4 << 10
 	maxEventSize       = 1 << 20
 )
 
 var (
-	errEventTooLarge  = errors.New("an event is larger than a stream may hold")
-	errTruncatedEvent = errors.New("the stream ended inside an event")
+	errEventTooLarge  = errors.New("an event of the stream is too large")
+	errTruncatedEvent = errors.New("the stream ended in the middle of an event")
 )
 
-// eventSplitter cuts a stream into whole events and keeps their bytes as they
-// are.
+// eventSplitter splits a stream into complete events and keeps their bytes unchanged.
 //
-// Guard: an endpoint may stop in the middle of an event. Only whole events are
-// passed on, so that the stream can go on at another endpoint after the last
-// whole one without a doubled or a torn piece.
+// An endpoint may fail in the middle of an event. Only complete events are forwarded,
+// so that the stream can resume at another endpoint after the last complete event,
+// with no event duplicated or truncated.
 type eventSplitter struct {
 	r     io.Reader
 	buf   []byte
-	start int // of what was not yet returned
+	start int // start of the bytes that next has not returned yet
 	end   int
 	err   error
 }
@@ -36,8 +35,8 @@
 	return &eventSplitter{r: r, buf: make([]byte, initialEventBuffer)}
 }
 
-// next returns the bytes of the next whole event, valid until the next call.
-// io.EOF means that the stream ended after a whole event.
+// next returns the bytes of the next complete event, valid until the next call.
+// io.EOF means that the stream ended after a complete event.
 func (s *eventSplitter) next() ([]byte, error) {
 	scanned := s.start
 	for {
@@ -46,7 +45,7 @@
 			s.start = scanned + end
 			return event, nil
 		}
-		// The blank line may be cut by the read: look at the last bytes again.
+		// The blank line may be split across two reads: scan the last 3 bytes again.
 		scanned = max(s.start, s.end-3)
 		if s.err != nil {
 			return nil, s.finish()
@@ -59,7 +58,7 @@
 	}
 }
 
-// buffered reports whether another whole event can be had without a read.
+// buffered reports whether another complete event can be returned without a read.
 func (s *eventSplitter) buffered() bool { return eventEnd(s.buf[s.start:s.end]) >= 0 }
 
 func (s *eventSplitter) finish() error {
@@ -87,7 +86,7 @@
 	return nil
 }
 
-// eventEnd returns the length of the first whole event in b, with its blank
+// eventEnd returns the length of the first complete event in b, including its blank
 // line, or -1.
 func eventEnd(b []byte) int {
 	lf := bytes.Index(b, []byte("\n\n"))
@@ -101,7 +100,7 @@
 	return crlf + 4
 }
 
-// eventID returns the number in an event's id line.
+// eventID returns the number in the id field of an event.
 func eventID(event []byte) (int64, bool) {
 	for len(event) > 0 {
 		var line []byte
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway speaks to callers: it takes their requests, finds the route,
-// the account and an endpoint, and answers for what became of each.
+// Package gateway is the reverse proxy for client requests. It resolves the route,
+// the account and an endpoint of each request, forwards it, and relays the response
+// or returns an error response of its own.
 package gateway
 
 import (
@@ -17,45 +18,48 @@
 	"redwinghall/platform"
 )
 
-// Shares is what this node may use of what all nodes share.
+// Shares holds the node counts by which limits that apply to all nodes together are
+// divided.
 type Shares struct {
-	Nodes int // that take requests, this one included; 0 while this node doesn't know the others
-	Zone  int // of these, in this node's zone
-	// Dispatches says that this node chooses groups for all nodes of its zone.
+	Nodes int // nodes that take requests, including this one; 0 until this node knows the others
+	Zone  int // how many of them are in this node's zone
+	// Dispatches is true if this node chooses groups for all nodes of its zone.
 	Dispatches bool
 }
 
-// Options are the parts that a gateway works with.
+// Options are the dependencies of a gateway.
 type Options struct {
-	// Settings returns the settings in force.
+	// Settings returns the current settings.
 	Settings func() fleet.Settings
 	Book     *directory.Book
 	Tracker  *balance.Tracker
 	Upstream *Upstream
-	// Shares returns this node's part at the moment.
+	// Shares returns the current node counts.
 	Shares func() Shares
-	// ReportStall is told of a group in which nothing moves.
+	// ReportStall is called with the endpoint of a group that appears to be stalled
+	// or unreachable.
 	ReportStall func(endpointID string)
-	// Placer asks other zones before streams go there; it may be nil.
+	// Placer asks other zones before streams are sent to them; it may be nil.
 	Placer Placer
-	// PermitIssuer gives permits for endpoints that named a limit; nil where this node is the
-	// only one.
-	PermitIssuer  PermitIssuer
-	Metrics *Metrics
-	// Stopping returns the planned stop of this node; nil stands for a node that
+	// PermitIssuer issues permits for endpoints that announced a rate limit; nil if
+	// this node is the only one.
+	PermitIssuer PermitIssuer
+	Metrics      *Metrics
+	// Stopping returns the planned stop of this node. It may be nil for a node that
 	// never stops.
 	Stopping func() Stop
 }
 
-// Placer asks zones to choose one of their groups for a stream.
+// Placer asks a zone to choose one of its groups for a stream.
 type Placer interface {
-	// HasDispatcher reports whether another node chooses for the nodes of this zone.
+	// HasDispatcher reports whether another node chooses groups for the nodes of this
+	// zone.
 	HasDispatcher(now time.Time) bool
-	// Place asks a zone. ok is false if it gave no answer.
+	// Place asks a zone. ok is false if the zone did not respond.
 	Place(ctx context.Context, zone string, request fleet.PlacementRequest) (placement fleet.Placement, ok bool)
 }
 
-// Gateway serves callers.
+// Gateway is the HTTP handler for client requests.
 type Gateway struct {
 	Options
 	budget    *balance.RetryBudget
@@ -70,11 +74,12 @@
 	return &Gateway{Options: options, budget: balance.NewRetryBudget(bounds.RetryRatio, bounds.RetryWindow), callTimes: newCallTimes(), started: time.Now()}
 }
 
-// Served returns how many requests reached a route, so that others can tell
-// whether traffic has begun.
+// Served returns how many requests matched a route. Other components use it to detect
+// that traffic has begun.
 func (g *Gateway) Served() int64 { return g.served.Load() }
 
-// defaultRetryAfter is when a caller may try again while this node knows nothing yet.
+// defaultRetryAfter is the Retry-After of a 503 for which no better estimate exists,
+// for example before the configuration is known.
 const defaultRetryAfter = 500 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
@@ -93,7 +98,7 @@
 		return
 	}
 	request.Body = body
-	request.view = g.Book.View() // a slow caller may have taken its time
+	request.view = g.Book.View() // the view may have changed while a slow caller sent its body
 	g.budget.Request(now, request.Service.Name)
 	ctx, cancel := context.WithDeadline(in.Context(), request.Deadline)
 	defer cancel()
@@ -104,8 +109,8 @@
 	g.servePlain(ctx, w, request)
 }
 
-// resolve finds the route, the account and the service of a request. On a
-// refusal the request is as far as it was read.
+// resolve finds the route, the account and the service of a request. On a refusal the
+// returned request holds what was resolved so far.
 func (g *Gateway) resolve(in *http.Request, now time.Time) (*Request, *refusal) {
 	r := &Request{
 		Ask: platform.DecodeAsk(in.Header), Method: in.Method, Host: in.Host, Target: in.RequestURI,
@@ -138,8 +143,8 @@
 	return r, nil
 }
 
-// pickService chooses a service of a split by weight. The same request id gets the
-// same service on each node.
+// pickService chooses a service of a traffic split by weight. The choice depends only
+// on the request id, so every node makes the same one.
 func pickService(split []fleet.Share, id string) string {
 	total := 0
 	for _, s := range split {
@@ -165,21 +170,21 @@
 		return
 	}
 	klog.InfoS("request_broken_off", "request", r.Ask.ID, "err", err)
-	panic(http.ErrAbortHandler) // the caller went away while it sent its body
+	panic(http.ErrAbortHandler) // the caller disconnected while sending its body
 }
 
-// ask returns what choosing needs to know of a request.
+// ask returns the inputs of endpoint selection for a request.
 //
-// Guard: after a start of all nodes, each that doesn't know the others yet would take what
-// all of them share for its own.
+// Before this node knows the other nodes, its budget for cold endpoints is 0: after a
+// restart of all nodes, each would otherwise spend the budget of all of them.
 func (g *Gateway) ask(r *Request, tried map[string]bool) balance.Ask {
 	shares := g.Shares()
 	nodes := max(1, shares.Nodes)
 	settings := g.Settings()
 	bounds := settings.Bounds
 	zone := max(1, shares.Zone)
-	// What a cold endpoint bears in any second, with a margin for nodes that
-	// don't know of each other.
+	// The requests per second that a cold endpoint can take, with a margin for nodes
+	// that do not know of each other.
 	cold := coldBudgetShare * (r.Service.ColdPerSecond*bounds.ColdOvershoot + bounds.ColdSlack)
 	if shares.Nodes == 0 {
 		cold = 0
@@ -196,15 +201,15 @@
 	return ask
 }
 
-// How what a cold endpoint bears is shared: most of it by the nodes of its own
-// zone, which send it most requests.
+// How the request budget of a cold endpoint is divided. The nodes of its own zone get
+// most of it, since they send it most requests.
 const (
 	coldBudgetShare = 0.75
 	coldZoneShare   = 0.75
 )
 
-// connectionShare is this node's part of the connections that an endpoint
-// takes. A tenth stays free for health checks and orders.
+// connectionShare returns this node's share of the connections that an endpoint
+// accepts. A tenth is reserved for health checks and orders.
 func connectionShare(limit, nodes int) int {
 	if limit <= 0 {
 		return 0
@@ -212,7 +217,8 @@
 	return max(1, limit*9/10/nodes)
 }
 
-// mayRetry reports whether a request may go to one more endpoint.
+// mayRetry reports whether a request may be sent to another endpoint. It spends the
+// retry budget if so.
 func (g *Gateway) mayRetry(r *Request, sent int, now time.Time) bool {
 	if sent >= r.Route.MaxAttempts || r.Left(now) < minRemaining {
 		return false
@@ -224,5 +230,6 @@
 	return g.budget.Spend(now, r.Service.Name, slack)
 }
 
-// minRemaining is the time below which no endpoint can answer any more.
+// minRemaining is the remaining time below which no endpoint can respond before the
+// deadline.
 const minRemaining = 15 * time.Millisecond
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -23,7 +23,7 @@
 	"redwinghall/platform/platformtest"
 )
 
-// fixture is a gateway before stand-in endpoints, over real connections.
+// fixture is a gateway in front of fake endpoints, over real connections.
 type fixture struct {
 	t       testing.TB
 	book    *directory.Book
@@ -31,21 +31,21 @@
 	tracker *balance.Tracker
 	config  *fleet.Configuration
 	placer  fakePlacer
-	// stop is the planned stop that is under way; it is set before requests come.
+	// stop is the current planned stop. It must be set before requests are sent.
 	stop gateway.Stop
-	// shares is the gateway's part of what all nodes share. Like settings, it is set before
-	// requests come.
+	// shares are the node counts. Like settings, they must be set before requests are
+	// sent.
 	shares   gateway.Shares
 	settings fleet.Settings
 }
 
-// fakePlacer is what other zones say when they are asked.
+// fakePlacer holds the replies of other zones.
 type fakePlacer struct {
-	offers map[string]string // endpoints, by zone; a zone without one gives no answer
+	offers map[string]string // endpoint ids by zone; a zone that is missing does not respond
 	asked  []string
-	// elsewhere is the zone that the dispatcher names where it has no room.
+	// elsewhere is the zone that the dispatcher names if it has no capacity.
 	elsewhere string
-	// dispatched says that another node chooses for this zone.
+	// dispatched is true if another node chooses groups for this zone.
 	dispatched bool
 }
 
@@ -96,7 +96,8 @@
 	return s
 }
 
-// newUnconfiguredFixture returns a site whose gateway has just started and has read nothing.
+// newUnconfiguredFixture returns a fixture whose gateway has just started and has
+// read nothing.
 func newUnconfiguredFixture(t testing.TB) *fixture {
 	t.Helper()
 	s := &fixture{t: t, book: directory.NewBook(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
@@ -111,7 +112,7 @@
 	return s
 }
 
-// endpoint adds a stand-in endpoint of a service.
+// endpoint adds a fake endpoint of a service.
 func (s *fixture) endpoint(id, service string, handler http.HandlerFunc) *httptest.Server {
 	s.t.Helper()
 	server := httptest.NewServer(handler)
@@ -151,7 +152,7 @@
 	status int
 	header http.Header
 	body   string
-	err    error // while the body was read
+	err    error // from reading the body
 }
 
 func (s *fixture) do(r *http.Request) response {
@@ -163,14 +164,14 @@
 	return response{status: out.StatusCode, header: out.Header, body: string(body), err: err}
 }
 
-// sign marks an answer as the endpoint's own.
+// sign adds the echoed request id and the endpoint's signature to a response.
 func sign(w http.ResponseWriter, r *http.Request) {
 	platformtest.Sign(w, platformtest.Read(r).ID, "sig")
 }
 
 func writeEvents(w http.ResponseWriter, from, to int) {
 	for i := from; i <= to; i++ {
-		_, _ = fmt.Fprintf(w, "id: %d\ndata: word %d\n\n", i, i) // the reader tells what came
+		_, _ = fmt.Fprintf(w, "id: %d\ndata: word %d\n\n", i, i) // the reader checks what it received
 		w.(http.Flusher).Flush()
 	}
 }
@@ -183,18 +184,18 @@
 	return b.String()
 }
 
-func TestPassesRequestsAndAnswers(t *testing.T) {
+func TestForwardsRequestsAndResponses(t *testing.T) {
 	s := newFixture(t)
 	var seen *http.Request
 	var body string
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 		seen = r.Clone(context.Background())
-		data, _ := io.ReadAll(r.Body) // a short body is a failed comparison
+		data, _ := io.ReadAll(r.Body) // a short body fails the comparison below
 		body = string(data)
 		sign(w, r)
 		w.Header().Set("X-Own", "1")
 		w.WriteHeader(http.StatusCreated)
-		_, _ = w.Write([]byte("booked")) // the reader tells what came
+		_, _ = w.Write([]byte("booked")) // the reader checks what it received
 	})
 	got := s.do(s.request(http.MethodPost, "/book/a%2Fb?x=1&y=%20"))
 	require.Equal(t, http.StatusCreated, got.status)
@@ -232,9 +233,9 @@
 	}
 }
 
-// A node that has just started turns callers away for good: it answers 404 or
-// 401 although it only doesn't know the configuration yet.
-func TestUnknownConfigurationIsNoDenial(t *testing.T) {
+// A node that has just started and does not know the configuration yet must answer
+// 503 with Retry-After. A 404 or 401 would make callers give up for good.
+func TestUnknownConfigurationReturns503(t *testing.T) {
 	s := newFixture(t)
 	g := gateway.New(gateway.Options{
 		Settings: func() fleet.Settings { return fleet.Settings{} }, Book: directory.NewBook(), Tracker: balance.NewTracker(),
@@ -248,9 +249,10 @@
 	require.NotEmpty(t, w.Header().Get("Retry-After"))
 }
 
-// A haulier is charged twice: the connection to the desk breaks after the
-// booking ran, and the library or this node sends it again. An unsafe request
-// goes out once, whatever its method, and its caller hears that nothing is known.
+// An unsafe request must be sent only once, whatever its method, and its caller must
+// get 502, as the outcome is unknown. Otherwise, if the connection breaks after the
+// endpoint has executed the request, net/http or the gateway sends it again, and a
+// booking is charged twice.
 func TestUnsafeRequestIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
 		t.Run(method, func(t *testing.T) {
@@ -265,7 +267,7 @@
 				panic(http.ErrAbortHandler)
 			}
 			s.endpoint("e1", "desk", broken)
-			warm := s.request(method, "/book2/") // leaves a kept connection behind
+			warm := s.request(method, "/book2/") // leaves an idle connection in the pool
 			warm.Header.Set("Request-Id", "warm")
 			require.Equal(t, http.StatusOK, s.do(warm).status)
 			s.endpoint("e2", "desk", broken)
@@ -276,9 +278,9 @@
 	}
 }
 
-// An endpoint that is gone refuses the connection: nothing was sent, so that
-// also a booking goes on to the next one.
-func TestRefusedConnectionGoesOn(t *testing.T) {
+// An endpoint that is gone refuses the connection. Nothing was sent, so even an
+// unsafe request goes on to the next endpoint.
+func TestRefusedConnectionTriesNextEndpoint(t *testing.T) {
 	s := newFixture(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -290,9 +292,9 @@
 	}
 }
 
-// A caller is told 503, which says that its booking has not run, although the
-// endpoint that sent it promised nothing of the kind.
-func TestOnlyAPromiseIsPassedOnAsOne(t *testing.T) {
+// A 503 tells the caller that its request was not executed, so the gateway must
+// forward it only if the endpoint guaranteed that.
+func TestNotRunStatusNeedsEndpointGuarantee(t *testing.T) {
 	for name, c := range map[string]struct {
 		notRun bool
 		want   int
@@ -314,29 +316,29 @@
 	}
 }
 
-// A late second answer of an earlier request comes where the next one is
-// expected. Its caller must not get it.
-func TestAnswerOfAnotherRequestIsNotPassedOn(t *testing.T) {
+// A late second response to an earlier request may arrive where the response to the
+// next one is expected. The caller of the next request must not get it.
+func TestResponseToAnotherRequestIsNotForwarded(t *testing.T) {
 	s := newFixture(t)
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, _ *http.Request) {
 		platformtest.Sign(w, "r-0", "sig")
-		_, _ = w.Write([]byte("somebody else's")) // the reader tells what came
+		_, _ = w.Write([]byte("somebody else's")) // the reader checks what it received
 	})
 	got := s.do(s.request(http.MethodPost, "/book/"))
 	require.Equal(t, http.StatusBadGateway, got.status)
 	require.NotContains(t, got.body, "somebody")
 }
 
-func TestUnsignedSuccessIsNotPassedOn(t *testing.T) {
+func TestUnsignedSuccessIsNotForwarded(t *testing.T) {
 	s := newFixture(t)
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 		platformtest.Echo(w, platformtest.Read(r).ID)
-		_, _ = w.Write([]byte("?")) // the reader tells what came
+		_, _ = w.Write([]byte("?")) // the reader checks what it received
 	})
 	require.Equal(t, http.StatusBadGateway, s.do(s.request(http.MethodPost, "/book/")).status)
 }
 
-func TestSafeRequestIsTriedAgain(t *testing.T) {
+func TestSafeRequestIsRetried(t *testing.T) {
 	s := newFixture(t)
 	var first atomic.Bool
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -345,7 +347,7 @@
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		_, _ = w.Write([]byte("three left")) // the reader tells what came
+		_, _ = w.Write([]byte("three left")) // the reader checks what it received
 	}
 	s.endpoint("e1", "desk", handler)
 	s.endpoint("e2", "desk", handler)
@@ -354,10 +356,10 @@
 	require.Equal(t, "three left", got.body)
 }
 
-// A road crew loses its guidance in the middle: the group breaks off, inside
-// an event. The stream goes on at another group after the last whole event,
-// and the caller sees one answer with each event once.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// A group fails during a stream, between events or inside one. The stream must resume
+// at another group after the last complete event, and the caller must get each event
+// exactly once.
+func TestStreamResumesAtAnotherGroup(t *testing.T) {
 	for name, breakOff := range map[string]func(http.ResponseWriter){
 		"between events":  func(http.ResponseWriter) {},
 		"inside an event": func(w http.ResponseWriter) { _, _ = w.Write([]byte("id: 4\nda")); w.(http.Flusher).Flush() },
@@ -377,7 +379,7 @@
 					breakOff(w)
 					panic(http.ErrAbortHandler)
 				}
-				writeEvents(w, 3, 6) // one event again, which the caller already has
+				writeEvents(w, 3, 6) // repeats event 3, which the caller already has
 			}
 			s.endpoint("e1", "llm", handler)
 			s.endpoint("e2", "llm", handler)
@@ -389,7 +391,7 @@
 	}
 }
 
-// A stream that nobody can finish must not look complete.
+// A stream that no group can complete must not look complete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	s := newFixture(t)
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -403,10 +405,10 @@
 	require.Error(t, got.err)
 }
 
-// A group that lost a member accepts requests, and nothing moves. Its callers
-// wait until they leave. After a while without any event the stream goes on at
-// another group.
-func TestStalledGroupIsLeft(t *testing.T) {
+// A group that lost a member accepts requests but makes no progress. After the stall
+// timeout the stream must resume at another group, or its caller waits until it gives
+// up.
+func TestStalledStreamResumesAtAnotherGroup(t *testing.T) {
 	s := newFixture(t)
 	release := make(chan struct{})
 	defer close(release)
@@ -427,9 +429,8 @@
 	require.Equal(t, wholeStream(4), got.body)
 }
 
-// An answer is ended only because it is slow, although nobody else can finish
-// it: a slow answer is worth more than none.
-func TestSlowStreamIsNotEndedWithoutAnAlternative(t *testing.T) {
+// A slow response must not be cancelled if no other endpoint can continue it.
+func TestSlowStreamIsNotCancelledWithoutAnAlternative(t *testing.T) {
 	s := newFixture(t)
 	s.endpoint("e1", "llm", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
@@ -442,9 +443,9 @@
 	require.Equal(t, wholeStream(2), got.body)
 }
 
-// Two groups refuse a stream as not run: the caller is told so, and not that
-// the outcome is unknown.
-func TestTwoRefusalsAreARefusal(t *testing.T) {
+// Two groups reject a stream without executing it. The caller must get 503, not a
+// response that says that the outcome is unknown.
+func TestStreamRejectedByTwoGroupsReturns503(t *testing.T) {
 	s := newFixture(t)
 	busy := func(w http.ResponseWriter, r *http.Request) {
 		platformtest.Echo(w, platformtest.Read(r).ID)
@@ -457,8 +458,9 @@
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 }
 
-// The caller leaves, and the endpoint works on for nobody.
-func TestCallerLeaves(t *testing.T) {
+// When the caller disconnects, the connection to the endpoint must be closed, so that
+// the endpoint stops working on the request.
+func TestCallerDisconnectClosesEndpointConnection(t *testing.T) {
 	s := newFixture(t)
 	left := make(chan struct{})
 	s.endpoint("e1", "llm", func(w http.ResponseWriter, r *http.Request) {
@@ -473,17 +475,17 @@
 	_, err = bufio.NewReader(out.Body).ReadString('\n')
 	require.NoError(t, err)
 	cancel()
-	_ = out.Body.Close() // it may have ended already
+	_ = out.Body.Close() // it may have been closed already
 	select {
 	case <-left:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the endpoint's connection stayed open")
+		t.Fatal("the connection to the endpoint stayed open")
 	}
 }
 
-// The route's timeout passes while the endpoint is silent. The caller gets a
-// final answer then, and not when the endpoint has had enough.
-func TestRouteTimeoutEndsTheWait(t *testing.T) {
+// The route's timeout expires while the endpoint is silent. The caller must get 504
+// then, and not wait for the endpoint.
+func TestRouteTimeout(t *testing.T) {
 	s := newFixture(t)
 	s.config.Routes[1].Timeout = 100 * time.Millisecond
 	release := make(chan struct{})
@@ -500,16 +502,16 @@
 	require.Equal(t, http.StatusRequestEntityTooLarge, s.do(s.request(http.MethodPost, "/book/")).status)
 }
 
-// An answer that is too large to be kept must still arrive whole, and one that
-// breaks off must not look complete.
-func TestLargeAnswer(t *testing.T) {
+// A response that is too large to be buffered must still arrive complete, and a
+// truncated one must not look complete.
+func TestLargeResponse(t *testing.T) {
 	const size = 3 << 20
 	for name, breaks := range map[string]bool{"whole": false, "broken off": true} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t)
 			s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 				sign(w, r)
-				_, _ = w.Write(make([]byte, size)) // the reader tells what came
+				_, _ = w.Write(make([]byte, size)) // the reader checks what it received
 				if breaks {
 					w.(http.Flusher).Flush()
 					panic(http.ErrAbortHandler)
@@ -524,7 +526,8 @@
 	}
 }
 
-// Events of a plain service arrive one by one, and not when the last is there.
+// Events of a plain service must be forwarded one by one, not only once the last has
+// arrived.
 func TestPlainServiceStreams(t *testing.T) {
 	s := newFixture(t)
 	next := make(chan struct{})
@@ -536,7 +539,7 @@
 	})
 	out, err := http.DefaultTransport.RoundTrip(s.request(http.MethodPost, "/feed/"))
 	require.NoError(t, err)
-	defer func() { _ = out.Body.Close() }() // it is read whole
+	defer func() { _ = out.Body.Close() }() // it is read completely
 	reader := bufio.NewReader(out.Body)
 	line, err := reader.ReadString('\n')
 	require.NoError(t, err)
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -10,24 +10,29 @@
 	"redwinghall/fleet"
 )
 
-// maxPermitRequests bounds how many endpoints with a limit are asked about for one try: each
-// takes a way to the node that lends for it.
+// maxPermitRequests bounds how many rate-limited endpoints a permit is requested for
+// in one attempt: each request costs a round trip to the node that issues permits for
+// the endpoint.
 const maxPermitRequests = 4
 
-// fullLimitShare is the part of a limit that the only node there is lends to itself.
+// fullLimitShare is the share of a rate limit that a node issues permits from if it
+// is the only one.
 const fullLimitShare = 1
 
-// PermitIssuer gives permits for endpoints that named a limit.
+// PermitIssuer issues permits for endpoints that announced a rate limit.
 type PermitIssuer interface {
-	// Permit asks for one request to an endpoint. ok is false if nobody gave an answer.
+	// Permit requests a permit for one request to an endpoint. ok is false if no node
+	// responded.
 	Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (permit balance.Permit, ok bool)
 }
 
-// withinLimits makes a choice until one is found that its endpoint's limit allows for.
+// withinLimits repeats the choice of an endpoint until the rate limit of the chosen
+// one allows the request.
 //
-// Guard: a limit bounds the sum over all nodes, and none knows what the others send. If
-// each kept to it alone, an endpoint in need would get it as many times as there are
-// nodes. So one node counts for all, and what it doesn't lend goes elsewhere.
+// A rate limit bounds the sum over all nodes, and no node knows what the others send.
+// If each node enforced it alone, an overloaded endpoint would get the limit once per
+// node. So one node issues the permits for all, and requests without a permit go
+// elsewhere.
 func (g *Gateway) withinLimits(ctx context.Context, r *Request, choose func(now time.Time) (balance.Choice, *balance.Refusal)) (balance.Choice, *balance.Refusal) {
 	var refused *balance.Refusal
 	for range maxPermitRequests {
@@ -52,7 +57,8 @@
 	return balance.Choice{}, refused
 }
 
-// requestPermit asks for a requestPermit and takes in what the answer tells.
+// requestPermit requests a permit and records the rate limit and wait time of the
+// reply.
 func (g *Gateway) requestPermit(ctx context.Context, choice balance.Choice) (balance.Permit, bool) {
 	id := choice.Endpoint.ID
 	known := g.Tracker.Limit(time.Now(), id)
@@ -72,7 +78,7 @@
 	return permit, ok
 }
 
-// recordLimit takes in what an answer says of its endpoint's limit.
+// recordLimit records the rate limit that a response announces for its endpoint.
 func (g *Gateway) recordLimit(r *Request, choice balance.Choice, response *Response) {
 	if response.Verdict.LimitUnreadable {
 		klog.InfoS("limit_unreadable", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID)
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -11,7 +11,8 @@
 	"redwinghall/platform/platformtest"
 )
 
-// limitedEndpoint adds an endpoint that names a limit, and returns how often it was asked.
+// limitedEndpoint adds an endpoint that announces a rate limit, and returns its
+// request counter.
 func (s *fixture) limitedEndpoint(id, service, perSecond string) *atomic.Int32 {
 	var asked atomic.Int32
 	s.endpoint(id, service, func(w http.ResponseWriter, r *http.Request) {
@@ -25,31 +26,33 @@
 	return &asked
 }
 
-// What an endpoint's limit doesn't allow for goes to another one, also where the first looks best.
+// Requests beyond the rate limit of an endpoint must go to another one, even if the
+// first is otherwise preferred.
 func TestRequestsBeyondALimitGoElsewhere(t *testing.T) {
 	for path, service := range map[string]string{"/look/x": "desk", "/stream/x": "llm", "/feed/x": "desk"} {
 		t.Run(path, func(t *testing.T) {
 			s := newFixture(t)
-			needy := s.limitedEndpoint("needy", service, "0.5")
-			for needy.Load() == 0 {
+			limited := s.limitedEndpoint("needy", service, "0.5")
+			for limited.Load() == 0 {
 				require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, path)).status)
 			}
 			other := s.limitedEndpoint("other", service, "")
 			for range 30 {
 				require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, path)).status)
 			}
-			require.LessOrEqual(t, needy.Load(), int32(2))
+			require.LessOrEqual(t, limited.Load(), int32(2))
 			require.GreaterOrEqual(t, other.Load(), int32(29))
 		})
 	}
 }
 
-// Nothing but endpoints in need: the rest is refused at once, and told when there is room.
+// If all endpoints are at their rate limits, further requests must be refused at
+// once, with a Retry-After that says when the next one is allowed.
 func TestRefusesBeyondAllLimits(t *testing.T) {
 	for path, service := range map[string]string{"/look/x": "desk", "/stream/x": "llm"} {
 		t.Run(path, func(t *testing.T) {
 			s := newFixture(t)
-			needy := s.limitedEndpoint("needy", service, "1")
+			limited := s.limitedEndpoint("needy", service, "1")
 			require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, path)).status)
 			refused := s.do(s.request(http.MethodPost, path))
 			require.Equal(t, http.StatusServiceUnavailable, refused.status)
@@ -57,7 +60,7 @@
 			seconds, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 			require.NoError(t, err)
 			require.InDelta(t, 1, seconds, 0.3)
-			require.Equal(t, int32(1), needy.Load())
+			require.Equal(t, int32(1), limited.Load())
 		})
 	}
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -8,7 +8,7 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// Bounds on how many series exist: the library keeps each for good.
+// The registry never drops a series, so their number is bounded.
 const (
 	maxSeries   = 200
 	sampleSize  = 512
@@ -27,10 +27,11 @@
 	return &Metrics{registry: metrics.NewRegistry(), names: map[string]bool{}}
 }
 
-// Registry returns where the metrics are kept.
+// Registry returns the registry that holds the metrics.
 func (m *Metrics) Registry() metrics.Registry { return m.registry }
 
-// series bounds how many accounts and routes have series of their own.
+// series returns the name of the request's series. Beyond maxSeries all new ones
+// share otherSeries.
 func (m *Metrics) series(r *Request) string {
 	name := otherSeries
 	if r.Route != nil {
@@ -61,19 +62,19 @@
 	}
 }
 
-// Refused counts an answer of our own.
+// Refused counts a response that the gateway generated itself.
 func (m *Metrics) Refused(r *Request, why refusal) {
 	m.count("refused." + strconv.Itoa(why.status) + "." + why.reason)
 	m.count("requests.refused." + m.series(r))
 }
 
-// Answered counts an endpoint's answer that was passed on.
+// Answered counts a response of an endpoint that was forwarded.
 func (m *Metrics) Answered(r *Request, status int, took time.Duration) {
 	m.count("answered." + strconv.Itoa(status))
 	m.observe("answer_us."+m.series(r), took)
 }
 
-// Streamed counts a whole stream.
+// Streamed records the timings of a completed stream.
 func (m *Metrics) Streamed(r *Request, first, slowest, took time.Duration) {
 	name := m.series(r)
 	m.observe("first_event_us."+name, first)
@@ -81,10 +82,11 @@
 	m.observe("stream_us."+name, took)
 }
 
-// CallerGone counts a caller that left before its answer.
+// CallerGone counts a caller that disconnected before its response.
 func (m *Metrics) CallerGone(r *Request) { m.count("caller_gone." + m.series(r)) }
 
-// LimitChanged counts that an endpoint named a limit, another one, or none any more.
+// LimitChanged counts that an endpoint announced a new or different rate limit, or
+// withdrew it.
 func (m *Metrics) LimitChanged(named bool) {
 	if named {
 		m.count("limits.named")
@@ -93,6 +95,6 @@
 	m.count("limits.ended")
 }
 
-// NotPermitted counts that a request had to go elsewhere, as its endpoint's limit didn't
-// allow for it.
+// NotPermitted counts a choice of an endpoint that was dropped because the endpoint's
+// rate limit did not allow the request.
 func (m *Metrics) NotPermitted() { m.count("limits.not_permitted") }
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -10,9 +10,8 @@
 	"redwinghall/fleet"
 )
 
-// chooseGroup chooses the group for a stream. Where another node dispatches for
-// this zone, it is asked first; without its answer this node chooses by what
-// it knows itself.
+// chooseGroup chooses the group for a stream. If another node dispatches for this
+// zone, it is asked first; without its reply this node chooses from its own view.
 func (c *streamCall) chooseGroup(ctx context.Context, now time.Time, ask balance.Ask) (balance.Choice, *balance.Refusal) {
 	heads := c.r.view.Heads(c.r.Service.Name, c.r.Ask.Model)
 	if c.g.Placer == nil || !c.g.Placer.HasDispatcher(now) {
@@ -29,16 +28,16 @@
 	return c.chooseByZones(ctx, time.Now(), heads, ask)
 }
 
-// dispatcherChoice is what the dispatcher of this zone said: its choice, or the zone that may
-// have room.
+// dispatcherChoice is the reply of the dispatcher of this zone: the chosen group, or
+// another zone that may have capacity.
 type dispatcherChoice struct {
 	choice     *balance.Choice
 	elsewhere  string
 	limitedFor time.Duration
 }
 
-// askDispatcher asks the dispatcher of this zone for a group. It reports false if there was no
-// answer that this node can go by.
+// askDispatcher asks the dispatcher of this zone for a group. It reports false if
+// there was no usable reply.
 func (c *streamCall) askDispatcher(ctx context.Context, heads []*fleet.Endpoint, ask balance.Ask) (dispatcherChoice, bool) {
 	tickets := &c.g.Tracker.Tickets
 	ticket := tickets.Open()
@@ -52,8 +51,8 @@
 	case placement.Endpoint == "":
 		klog.InfoS("dispatcher_has_no_room", "request", c.r.Ask.ID, "predicted", placement.Predicted, "elsewhere", placement.Elsewhere,
 			"limited_for", placement.LimitedFor)
-		// Without a prediction or a limit it knows of no group here. This node may, as
-		// their views differ for moments.
+		// Without a prediction or a rate limit, the dispatcher knows of no group in
+		// this zone. This node may know of one, since views differ briefly.
 		return dispatcherChoice{elsewhere: placement.Elsewhere, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
 	}
 	now := time.Now()
@@ -72,21 +71,21 @@
 }
 
 // placedEndpoint returns the endpoint of a placement, and whether this node may use
-// it. Where views differ, this node's own decides: it may know of a group that
-// turned cold or closed since.
+// it. Where views differ, the view of this node decides: it may know of a group that
+// has become cold or closed since.
 func (c *streamCall) placedEndpoint(now time.Time, placement fleet.Placement, ask balance.Ask) (*fleet.Endpoint, bool) {
 	placed, known := c.r.view.Endpoints[placement.Endpoint]
 	return placed, known && !placed.ColdAt(now) && balance.Usable(&ask.Service, placed, c.r.view.ZonesOut)
 }
 
-// chooseByZones chooses a group by what this node knows. Before a stream goes
-// to another zone, that zone is asked, as it knows its groups' load and this
-// node knows it late; a zone that has no room is left out, and the choice made
-// again.
+// chooseByZones chooses a group from this node's own view. Before a stream goes to
+// another zone, that zone is asked, since it has current load figures for its groups
+// while those of this node are delayed. A zone without capacity is excluded, and the
+// choice is repeated.
 //
-// Guard: a zone that gives no answer is mostly cut off, and a stream that is sent
-// there waits for a connection that never comes. So it is used only where no other
-// zone takes the stream.
+// A zone that does not respond is usually partitioned, and a stream sent there waits
+// for a connection that is never established. So such a zone is used only if no other
+// zone accepts the stream.
 func (c *streamCall) chooseByZones(ctx context.Context, now time.Time, heads []*fleet.Endpoint, ask balance.Ask) (balance.Choice, *balance.Refusal) {
 	view := c.r.view
 	var unanswered *balance.Choice
@@ -124,7 +123,7 @@
 	}
 }
 
-// placementRequest returns what a zone needs to know of the stream.
+// placementRequest returns the request by which a zone is asked to place the stream.
 func (c *streamCall) placementRequest(ask balance.Ask) fleet.PlacementRequest {
 	request := fleet.PlacementRequest{
 		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, GoesOn: ask.GoesOn,
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// remoteGroup adds a stand-in group of another zone, which stays cold for a while.
+// remoteGroup adds a fake group of another zone, which stays cold for the given time.
 func (s *fixture) remoteGroup(zone, id string, cold time.Duration) {
 	s.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -21,10 +21,10 @@
 	s.registerIn(zone, id, "llm", server.Listener.Addr().String(), cold)
 }
 
-// The nearest zone with a group is cut off, or has no room, or would rather
-// use another of its groups: the caller gets its answer in each case, from
-// where it is served, and is refused only when no zone has room.
-func TestStreamAsksTheOtherZone(t *testing.T) {
+// The nearest zone with a group does not respond, has no capacity, or prefers another
+// of its groups. The caller must be served in each case, and refused only if no zone
+// has capacity.
+func TestStreamAsksOtherZones(t *testing.T) {
 	for name, c := range map[string]struct {
 		offers map[string]string
 		status int
@@ -53,9 +53,9 @@
 	}
 }
 
-// The nearest zone is cut off and gives no answer: the stream goes to one that does, and
-// to the silent one only where no other takes it.
-func TestStreamGoesToZonesThatAnswer(t *testing.T) {
+// If the nearest zone does not respond, the stream must go to a zone that does, and
+// to the silent one only if no other zone accepts it.
+func TestStreamPrefersZonesThatRespond(t *testing.T) {
 	for name, c := range map[string]struct {
 		offers map[string]string
 		served string
@@ -77,10 +77,10 @@
 	}
 }
 
-// A group turned cold, and the zone that chose it doesn't know that yet. What
-// all nodes may send to a cold group is shared out, and this stream has no part
-// in it: more than the group bears would make it fall over.
-func TestStreamGoesToNoGroupThatTurnedCold(t *testing.T) {
+// A zone offers a group that has become cold without knowing it yet. The request
+// budget of cold groups is divided among the nodes, and a stream sent there would
+// exceed this node's share and could overload the group.
+func TestStreamAvoidsGroupThatTurnedCold(t *testing.T) {
 	s := newFixture(t)
 	service := s.config.Services["llm"]
 	service.ColdPerSecond = 1
@@ -95,9 +95,9 @@
 	}
 }
 
-// A stream that stays in its zone asks nobody: that would cost each caller the
-// way to another node and back.
-func TestStreamOfTheOwnZoneAsksNobody(t *testing.T) {
+// A stream that stays in its zone must not ask another zone, as that would cost each
+// caller a round trip to another node.
+func TestLocalStreamAsksNoOtherZone(t *testing.T) {
 	s := newFixture(t)
 	s.endpoint("near", "llm", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
@@ -108,9 +108,9 @@
 	require.Empty(t, s.placer.asked)
 }
 
-// The dispatcher of a large zone chooses for a stream, has no room for it, or gives
-// no answer: the caller is served where it chose, by the zone that it names, or by what this
-// node knows itself.
+// The dispatcher of a large zone chooses a group, has no capacity, or does not
+// respond. The caller must be served by the chosen group, by the zone that the
+// dispatcher names, or by the choice of this node.
 func TestStreamAsksItsDispatcher(t *testing.T) {
 	for name, c := range map[string]struct {
 		offers    map[string]string
@@ -138,9 +138,9 @@
 	}
 }
 
-// All zones are full: the caller is refused at once, without a question to each of them, and
-// told when to come back.
-func TestStreamIsRefusedWhereNoZoneHasRoom(t *testing.T) {
+// If all zones are full, the caller must be refused at once with a Retry-After,
+// without a request to each zone.
+func TestStreamIsRefusedIfNoZoneHasCapacity(t *testing.T) {
 	s := newFixture(t)
 	s.remoteGroup("a", "a1", 0)
 	s.remoteGroup("b", "b1", 0)
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -16,50 +16,51 @@
 )
 
 const (
-	// maxBufferedResponse is the size up to which an answer is read whole before it is
-	// passed on, so that a broken one can be replaced by a second try.
+	// maxBufferedResponse is the size up to which a response is read completely
+	// before it is forwarded, so that a truncated one can be replaced by a retry.
 	maxBufferedResponse = 256 << 10
-	// maxDials bounds how many endpoints may refuse a connection to one request.
+	// maxDials bounds how many failed connection attempts to endpoints one request
+	// may cause.
 	maxDials = 3
-	// attemptTimeShare is the part of the time left that one endpoint gets while
-	// another may still be tried.
+	// attemptTimeShare is the fraction of the remaining time that one attempt gets
+	// while a retry is still possible.
 	attemptTimeShare = 0.4
 )
 
-var errEncodedResponse = errors.New("the answer is not the endpoint's own bytes")
+var errEncodedResponse = errors.New("the response is encoded, so its bytes are not the endpoint's own")
 
-// plainAttempt is one attempt's end, as far as the next step depends on it.
+// plainAttempt is the result of one attempt at a plain service.
 type plainAttempt struct {
 	response *Response
-	body   []byte
-	err    error // of kind NotSent or Unknown
-	// notRun: the endpoint promised that it did not run the request.
+	body     []byte
+	err      error // of kind NotSent or Unknown
+	// notRun is true if the endpoint guaranteed that it did not execute the request.
 	notRun bool
-	// unread is what follows body of an answer that is too large to be kept; nil
-	// if body is all. It is closed by end.
+	// unread is the remainder of a response that is too large to be buffered; nil if
+	// body is complete. It must be closed by release.
 	unread  io.Reader
 	release func()
 }
 
-// close ends the connection of an answer that was not read whole.
+// close releases the connection of a response that was not read completely.
 func (t plainAttempt) close() {
 	if t.release != nil {
 		t.release()
 	}
 }
 
-// plainCall is the progress of one request to a plain service.
+// plainCall is the state of one request to a plain service.
 type plainCall struct {
 	g           *Gateway
 	r           *Request
 	tried       map[string]bool
-	sent        int // endpoints that may have seen the request
-	failedDials int // connections that were refused
-	// mayHaveRun says that an endpoint may have run the request.
+	sent        int // attempts whose request may have reached an endpoint
+	failedDials int // failed connection attempts
+	// mayHaveRun is true if an endpoint may have executed the request.
 	mayHaveRun bool
 }
 
-// servePlain answers a request whose answer is one body.
+// servePlain handles a request whose response is a single body.
 func (g *Gateway) servePlain(ctx context.Context, w http.ResponseWriter, r *Request) {
 	call := &plainCall{g: g, r: r, tried: map[string]bool{}}
 	if !call.fitsPlannedStop(time.Now()) {
@@ -97,22 +98,23 @@
 	})
 }
 
-// fitsPlannedStop reports whether a node that may be stopping has time for one more try.
-// Only the calls of one route resemble each other: a service may answer
-// look-ups at once and take seconds for bookings.
+// fitsPlannedStop reports whether one more attempt would end before a planned stop of
+// this node. The estimate is kept per route, since calls of one service differ: it
+// may answer look-ups immediately and take seconds for bookings.
 func (c *plainCall) fitsPlannedStop(now time.Time) bool {
 	return c.g.stop().Accepts(now, c.g.callTimes.longest(c.r.Route.Name), c.r.Deadline)
 }
 
-// recordCallTime remembers how long the call took, whatever came of it.
+// recordCallTime records the duration of the call for its route, whatever its result.
 func (c *plainCall) recordCallTime() {
 	if c.sent > 0 {
 		c.g.callTimes.record(c.r.Route.Name, time.Since(c.r.Arrived))
 	}
 }
 
-// noEndpointRefusal refuses a request for which no endpoint is left. It promises
-// that nothing ran only if nothing was sent.
+// noEndpointRefusal returns the refusal of a request for which no endpoint is left.
+// It uses a status that guarantees that nothing was executed only if no endpoint may
+// have run the request.
 func (c *plainCall) noEndpointRefusal(refused *balance.Refusal) refusal {
 	why := c.g.noEndpointRefusal(refused)
 	if c.mayHaveRun {
@@ -121,7 +123,8 @@
 	return why
 }
 
-// attempt sends the request to one endpoint and reads the answer, a large one in part.
+// attempt sends the request to one endpoint and reads the response, a large one only
+// in part.
 func (c *plainCall) attempt(ctx context.Context, choice balance.Choice) plainAttempt {
 	c.tried[choice.Endpoint.ID] = true
 	ctx, cancel := context.WithTimeout(ctx, c.attemptTimeout(time.Now()))
@@ -134,7 +137,7 @@
 	c.g.recordLimit(c.r, choice, response)
 	last := c.readResponse(response)
 	last.release = func() {
-		_ = response.Body.Close() // what was needed of it was read
+		_ = response.Body.Close() // the part that is needed has been read
 		cancel()
 	}
 	c.recordAttempt(choice, last)
@@ -145,24 +148,24 @@
 	return last
 }
 
-// readResponse reads an answer as far as it is kept.
-func (c *plainCall) readResponse(answer *Response) plainAttempt {
-	last := plainAttempt{response: answer, notRun: answer.Verdict.NotRun}
+// readResponse reads up to maxBufferedResponse bytes of a response.
+func (c *plainCall) readResponse(response *Response) plainAttempt {
+	last := plainAttempt{response: response, notRun: response.Verdict.NotRun}
 	var err error
-	last.body, err = io.ReadAll(io.LimitReader(answer.Body, maxBufferedResponse+1))
-	if err == nil && answer.Verdict.Encoded {
+	last.body, err = io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse+1))
+	if err == nil && response.Verdict.Encoded {
 		err = errEncodedResponse
 	}
 	if err != nil && !last.notRun {
 		return plainAttempt{err: redwinghall.NewOpError("plainCall.readResponse", Unknown, err)}
 	}
 	if len(last.body) > maxBufferedResponse {
-		last.unread = answer.Body
+		last.unread = response.Body
 	}
 	return last
 }
 
-// recordAttempt tells the tracker, and the log, how an attempt ended.
+// recordAttempt reports the result of an attempt to the tracker and logs it.
 func (c *plainCall) recordAttempt(choice balance.Choice, last plainAttempt) {
 	now := time.Now()
 	if last.err != nil {
@@ -184,7 +187,7 @@
 		"configuration", c.r.configVersion())
 }
 
-// attemptTimeout is how long one endpoint may take.
+// attemptTimeout returns the timeout of the next attempt.
 func (c *plainCall) attemptTimeout(now time.Time) time.Duration {
 	left := c.r.Left(now)
 	if c.r.Idempotent() && c.sent+1 < c.r.Route.MaxAttempts {
@@ -193,7 +196,7 @@
 	return left
 }
 
-// recordSendFailure ends a visit that brought no answer.
+// recordSendFailure records and logs an attempt that got no response.
 func (c *plainCall) recordSendFailure(choice balance.Choice, err error) plainAttempt {
 	now := time.Now()
 	choice.Visit.Done(now, false)
@@ -208,7 +211,7 @@
 	return plainAttempt{err: err}
 }
 
-// shouldRetry reports whether another endpoint may get the request.
+// shouldRetry reports whether the request may be sent to another endpoint.
 func (c *plainCall) shouldRetry(ctx context.Context, last plainAttempt) bool {
 	now := time.Now()
 	switch {
@@ -226,7 +229,7 @@
 	return false
 }
 
-// finishPlain gives the caller what the last try brought.
+// finishPlain sends the caller the result of the last attempt.
 func (g *Gateway) finishPlain(ctx context.Context, w http.ResponseWriter, call *plainCall, last plainAttempt) {
 	r := call.r
 	switch {
@@ -245,11 +248,11 @@
 	}
 }
 
-// forwardResponse gives the caller the endpoint's answer as it is.
+// forwardResponse sends the endpoint's response to the caller unchanged.
 //
-// Guard: 408, 429 and 503 tell a caller that its request has not run. An
-// endpoint that sends one of them without that promise may have run it, so the
-// caller gets 502, which promises nothing.
+// Statuses 408, 421, 429 and 503 tell a caller that its request was not executed. An
+// endpoint that sends one of them without that guarantee may have executed the
+// request, so the caller gets 502, which guarantees nothing.
 func (g *Gateway) forwardResponse(w http.ResponseWriter, r *Request, last plainAttempt) {
 	status := last.response.Status
 	if statusMeansNotRun(status) || (status < http.StatusMultipleChoices && !signedFor(r, last.response)) {
@@ -260,7 +263,7 @@
 	w.WriteHeader(status)
 	if err := writeBody(w, last); err != nil {
 		klog.InfoS("answer_broken_off", "request", r.Ask.ID, "status", status, "err", err)
-		panic(http.ErrAbortHandler) // an answer that ends early must not look complete
+		panic(http.ErrAbortHandler) // a truncated response must not look complete
 	}
 	g.Metrics.Answered(r, status, time.Since(r.Arrived))
 }
@@ -273,7 +276,8 @@
 	return err
 }
 
-// statusMeansNotRun reports whether a status says that nothing ran.
+// statusMeansNotRun reports whether a status tells the caller that its request was
+// not executed.
 func statusMeansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -282,7 +286,8 @@
 	return false
 }
 
-// signedFor reports whether a success is the endpoint's own: signed, and for this request.
+// signedFor reports whether a successful response is signed by the endpoint and
+// belongs to this request.
 func signedFor(r *Request, response *Response) bool {
 	return response.Verdict.Signed && response.Verdict.RequestID == r.Ask.ID
 }
@@ -293,7 +298,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// forward returns what is added to a request for an endpoint.
+// forward returns the headers that are added to a request for an endpoint.
 func (g *Gateway) forward(r *Request, e *fleet.Endpoint, lastEvent string) platform.Forward {
 	return platform.Forward{
 		Left: r.Left(time.Now()), Endpoint: e.ID, Account: r.account(), Priority: r.Priority(), LastEvent: lastEvent,
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -14,21 +14,22 @@
 	"redwinghall/platform"
 )
 
-// refusal is an answer of our own. Statuses 429 and 503 say that the request
-// has not run and will not; 502 and 504 say nothing about it.
+// refusal is an error response that the gateway generates itself. Statuses 429 and
+// 503 guarantee that the request was not and will not be executed; 502 and 504
+// guarantee nothing.
 type refusal struct {
 	status     int
 	reason     string
 	retryAfter time.Duration
-	// predicted is the time to the first event that decided, or of a stopping
-	// node to the end of the answer, if one did.
+	// predicted is the prediction that led to the refusal, if any: the time to the
+	// first event or, on a stopping node, to the end of the response.
 	predicted time.Duration
-	// best is the endpoint that would have been chosen, "" if there was none;
-	// running and loadAge say what was known of it.
+	// best is the endpoint that would have been chosen, "" if there was none; running
+	// and loadAge are its load at this node and the age of that figure.
 	best    string
 	running int
 	loadAge time.Duration
-	// nodeLeft is how much time a stopping node has, 0 if it isn't stopping.
+	// nodeLeft is the time until a stopping node ends, 0 if it is not stopping.
 	nodeLeft time.Duration
 }
 
@@ -39,11 +40,13 @@
 	}
 }
 
-// startupRetryAfter is when a caller may try again at a node that has just started.
+// startupRetryAfter is the Retry-After of a node that has just started and has not
+// read any endpoint entries.
 const startupRetryAfter = 300 * time.Millisecond
 
-// noEndpointRefusal refuses a request for which no endpoint was chosen. A node that
-// has not read any entry yet knows of none, but soon will.
+// noEndpointRefusal returns the refusal of a request for which no endpoint was
+// chosen. A node that has not read any entries yet knows no endpoints, but will soon,
+// so it gets a reason and a shorter Retry-After of its own.
 func (g *Gateway) noEndpointRefusal(refused *balance.Refusal) refusal {
 	why := fromBalance(refused)
 	if refused.Reason == balance.NoEndpoint && g.Book.Read().IsZero() {
@@ -57,7 +60,8 @@
 	RequestID string `json:"request_id,omitempty"`
 }
 
-// refuse answers at once, so that the caller can go elsewhere in its time.
+// refuse sends an error response immediately, so that the caller has time left to try
+// another node.
 func (g *Gateway) refuse(w http.ResponseWriter, r *Request, why refusal) {
 	klog.InfoS("refused", "request", r.Ask.ID, "status", why.status, "reason", why.reason, "account", r.account(),
 		"route", routeName(r), "predicted", why.predicted, "objective", routeObjective(r), "best", why.best, "running", why.running,
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -11,27 +11,28 @@
 	"redwinghall/platform"
 )
 
-// Request is a caller's request, read whole, with the route and the account
-// that were found for it.
+// Request is a caller's request, including its complete body, with the route and the
+// account that were resolved for it.
 type Request struct {
 	Ask     platform.Ask
 	Method  string
 	Host    string
-	Target  string // path and query as the caller sent them
+	Target  string // path and query exactly as the caller sent them
 	Header  http.Header
 	Body    []byte
 	Route   *fleet.Route
 	Service fleet.Service
-	Account *fleet.Account // nil where the route asks for no key
+	Account *fleet.Account // nil if the route does not require a key
 	Arrived time.Time
-	// Deadline is when the caller or the route gives up, whichever comes first.
+	// Deadline is when the timeout of the caller or of the route expires, whichever
+	// is earlier.
 	Deadline time.Time
 	// ByRoute is true if the route's timeout is the earlier one.
 	ByRoute bool
 	view    *directory.View
 }
 
-// Priority returns the rank of the request, 0 first.
+// Priority returns the priority of the request; 0 is the highest.
 func (r *Request) Priority() int {
 	if r.Account != nil && r.Account.HasPriority {
 		return r.Account.Priority
@@ -39,7 +40,8 @@
 	return r.Route.Priority
 }
 
-// configVersion returns the configVersion of the configuration that decided the request, 0 for none.
+// configVersion returns the version of the configuration that applies to the request,
+// 0 if none is known.
 func (r *Request) configVersion() int64 {
 	if config := r.view.Config(); config != nil {
 		return config.Version
@@ -47,7 +49,8 @@
 	return 0
 }
 
-// account returns the account's name for headers, logs and metrics.
+// account returns the account's name for headers, logs and metrics, "" if the request
+// has no account.
 func (r *Request) account() string {
 	if r.Account == nil {
 		return ""
@@ -55,15 +58,15 @@
 	return r.Account.Name
 }
 
-// Idempotent reports whether the request may run more than once.
+// Idempotent reports whether the request may be executed more than once.
 func (r *Request) Idempotent() bool {
 	return r.Route.Kind == fleet.Safe || (r.Route.Kind == fleet.Streaming && r.Route.Resumable)
 }
 
-// Left returns how much time the request has.
+// Left returns the time remaining until the deadline.
 func (r *Request) Left(now time.Time) time.Duration { return r.Deadline.Sub(now) }
 
-// setDeadline sets when the request ends.
+// setDeadline sets the deadline from the timeouts of the route and the caller.
 func (r *Request) setDeadline() {
 	r.Deadline = r.Arrived.Add(r.Route.Timeout)
 	r.ByRoute = true
@@ -73,16 +76,16 @@
 	}
 }
 
-// Bounds of what is read of a caller where the configuration says nothing.
+// Limits on reading a request body.
 const (
 	defaultBodyBytes = 4 << 20
-	bodySlack        = 1 // one byte more tells a body that is too large
+	bodySlack        = 1 // one extra byte shows that a body exceeds the limit
 )
 
 var errBodyTooLarge = errors.New("the body is larger than the configuration allows")
 
-// readBody reads a request's body whole: a second endpoint may need it, and an
-// endpoint is not kept waiting by a slow caller.
+// readBody reads the complete body of a request: a retry at a second endpoint may
+// need it, and a slow caller must not occupy an endpoint.
 func readBody(in *http.Request, limit int64) ([]byte, error) {
 	if in.Body == nil || in.ContentLength == 0 {
 		return nil, nil
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -7,12 +7,12 @@
 	"redwinghall/balance"
 )
 
-// watchStall calls end once nothing has moved in the group for too long and the
-// stream may go on elsewhere. The returned function stops it.
+// watchStall calls cancel once the group has made no progress for the stall timeout
+// and the stream can resume at another group. The returned function stops the watch.
 //
-// Guard: a group that lost a member moves nothing for seconds, and its callers
-// leave after two. But an answer is never ended only because it is slow: where
-// no other group can go on with it, the stream waits.
+// A group that lost a member makes no progress for seconds, while its callers
+// disconnect after 2 s. But a response is never cancelled only because it is slow: if
+// no other group can continue it, the stream waits.
 func (c *streamCall) watchStall(choice balance.Choice, cancel func()) func() {
 	w := &stallWatch{call: c, choice: choice, cancel: cancel, limit: c.stallTimeout()}
 	w.mu.Lock()
@@ -21,7 +21,7 @@
 	return w.stop
 }
 
-// stallWatch is the timer of one attempt.
+// stallWatch detects that the group of one attempt is stalled.
 type stallWatch struct {
 	mu       sync.Mutex
 	call     *streamCall
@@ -63,8 +63,8 @@
 	w.timer.Stop()
 }
 
-// mayResumeElsewhere reports whether the stream may go on at another group now, and
-// spends the retry for it.
+// mayResumeElsewhere reports whether the stream may resume at another group now, and
+// spends the retry budget if so.
 func (c *streamCall) mayResumeElsewhere(now time.Time) bool {
 	if !c.r.Idempotent() || c.sent.Load() >= int64(c.r.Route.MaxAttempts) {
 		return false
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -7,16 +7,16 @@
 	"redwinghall/balance"
 )
 
-// startupWait is how long after its start a node lets callers wait for what it
-// serves by: longer than the first reads take where the store answers.
+// startupWait is how long after the start of a node requests wait for its first
+// reads. It is longer than these take while the store responds.
 const startupWait = time.Second
 
-// awaitStartup waits until what is awaited is known, while this node has just started.
-// It reports whether it is.
+// awaitStartup waits until known is closed, but no longer than startupWait after the
+// start of this node. It reports whether known is closed.
 //
-// Guard: when all nodes start again at once, those who come first were mostly
-// turned away or cut off before, and have no try left. Refused for what the node
-// knows a moment later, they get no answer at all.
+// After a simultaneous restart of all nodes, the first callers have mostly been
+// refused or cut off before and have no attempt left. A refusal for data that the
+// node reads a moment later would leave them without any response.
 func (g *Gateway) awaitStartup(ctx context.Context, now time.Time, known <-chan struct{}) bool {
 	left := startupWait - now.Sub(g.started)
 	if left <= 0 {
@@ -41,8 +41,9 @@
 	}
 }
 
-// awaitEndpoints waits for the endpoints' entries where none was chosen because
-// this node has read none yet. It reports whether a choice may come out otherwise now.
+// awaitEndpoints waits for the first read of the endpoint entries if no endpoint was
+// chosen because none has been read yet. It reports whether the choice should be
+// repeated.
 func (g *Gateway) awaitEndpoints(ctx context.Context, now time.Time, refused *balance.Refusal) bool {
 	return refused.Reason == balance.NoEndpoint && !isClosed(g.Book.Listed()) && g.awaitStartup(ctx, now, g.Book.Listed())
 }
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -14,8 +14,8 @@
 	"redwinghall/gateway"
 )
 
-// Callers who come right after a start of all nodes wait for what their node
-// reads a moment later, and are not refused.
+// Requests that arrive right after a restart of all nodes must wait for the first
+// reads of their node, a moment later, instead of being refused.
 func TestCallersWaitForANodeThatJustStarted(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/look/x"} {
 		t.Run(path, func(t *testing.T) {
@@ -37,9 +37,9 @@
 	}
 }
 
-// A node that can't read anything after its start refuses callers after a
-// second, and at once from then on.
-func TestCallersDoNotWaitForAStoreThatIsAway(t *testing.T) {
+// A node that can't read anything after its start must refuse callers after a second,
+// and at once from then on.
+func TestCallersDoNotWaitForAnUnreachableStore(t *testing.T) {
 	s := newUnconfiguredFixture(t)
 	began := time.Now()
 	require.Equal(t, http.StatusServiceUnavailable, s.do(s.request(http.MethodPost, "/stream/x")).status)
@@ -49,9 +49,10 @@
 	require.Less(t, time.Since(began), 500*time.Millisecond)
 }
 
-// All nodes have just started, and each takes itself for the only one: what a cold endpoint
-// bears, and the retries that all share, are spent as many times as there are nodes.
-func TestNodeThatKnowsNoOtherSpendsNothingShared(t *testing.T) {
+// All nodes have just started, and none knows the others. If each took itself for the
+// only node, the request budget of cold endpoints and the shared retries would be
+// spent once per node.
+func TestNodeWithoutPeersSpendsNoSharedBudget(t *testing.T) {
 	s := newFixture(t)
 	s.shares = gateway.Shares{Zone: 1}
 	s.settings.Bounds.ColdOvershoot, s.settings.Bounds.ColdSlack = 1.5, 5
@@ -76,5 +77,5 @@
 		})
 	}
 	require.Equal(t, http.StatusInternalServerError, s.do(s.request(http.MethodGet, "/look/x")).status)
-	require.Equal(t, int32(1), failing.Load(), "no retry out of the slack of all nodes")
+	require.Equal(t, int32(1), failing.Load(), "a node that does not know the others must not spend the shared retry slack")
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// Stop is a planned stop of this node, as far as it decides which requests are
-// still taken. The zero value is a node that isn't stopping.
+// Stop is the schedule of a planned stop of this node, from which it decides which
+// requests it still accepts. The zero value is a node that is not stopping.
 type Stop struct {
 	Begun time.Time
-	// Boot is the boot clock at that moment, which counts suspended time.
+	// Boot is the reading of the boot clock when the stop began. The boot clock
+	// includes the time that the VM is suspended.
 	Boot time.Time
-	// Noticed is when the balancer has noticed the stop, and sends new connections
-	// to other nodes as long as enough of them are ready.
+	// Noticed is when the load balancer has noticed the stop and sends new
+	// connections to other nodes, as long as enough of them are ready.
 	Noticed time.Time
-	// End is when the process ends, and what still runs is cut.
+	// End is when the process exits and remaining requests are cut off.
 	End time.Time
 }
 
 // Active reports whether the node is stopping.
 func (s Stop) Active() bool { return !s.End.IsZero() }
 
-// AdjustForSuspend returns the stop as it stands at a moment, which is told by both clocks.
+// AdjustForSuspend returns the stop with Noticed and End brought forward by the time
+// that the VM was suspended since the stop began, which is the difference between the
+// progress of the boot clock and of the monotonic clock.
 //
-// Guard: the steady clock stands still while the VM is suspended, and the
-// operators' grace goes on. A stop that counted by that clock alone would take
-// what it can't finish, and be killed. What the boot clock ran ahead is taken
-// off.
+// The monotonic clock stands still while the VM is suspended, but the operator's
+// grace period goes on. A stop measured by that clock alone would accept requests
+// that it can't finish, and would be killed with them.
 func (s Stop) AdjustForSuspend(now, boot time.Time) Stop {
 	if !s.Active() || s.Boot.IsZero() {
 		return s
@@ -36,25 +38,26 @@
 	return s
 }
 
-// How much more time than a request is expected to take the node must have, as a
-// part of that: answers take longer where prompts of others are read meanwhile.
+// The margins by which the remaining time must exceed the expected duration of a
+// request, as a fraction of that duration: responses take longer while prompts of
+// other requests are processed.
 const (
-	// noticedMargin holds once callers can find another node.
+	// noticedMargin applies once callers can reach another node.
 	noticedMargin = 0.6
-	// unnoticedMargin is smaller: until then, who is refused may well come to
-	// a node that stops too, or back to this one.
+	// unnoticedMargin is smaller: until then, a refused caller may well reach another
+	// stopping node, or this one again.
 	unnoticedMargin = 0.1
 )
 
-// Accepts reports whether the node takes a request now that is expected to take so
-// long at most (0: unknown), and surely ends by its deadline.
+// Accepts reports whether the node accepts a request that is expected to take at most
+// the given time (0: unknown) and that ends by its deadline at the latest.
 //
-// Guard: a stopping node that takes what it can't finish cuts it when its grace
-// is over, and the caller sees an answer that ends in the middle. Callers keep
-// their connections and go on using them, whatever the balancer does with new
-// ones, so a stop that only waits for the balancer takes requests up to its
-// end. What is taken here either ends in time by its own deadline, or is
-// expected to, by the longest answer that it may get.
+// A stopping node that accepts a request it can't finish cuts it off when the grace
+// period ends, and the caller gets a truncated response. Callers keep using their
+// open connections whatever the load balancer does with new ones, so a node that only
+// waited for the load balancer would accept requests until it exits. An accepted
+// request therefore either has a deadline before the end, or is expected to finish in
+// time, judged by the longest response that it may get.
 func (s Stop) Accepts(now time.Time, expected time.Duration, deadline time.Time) bool {
 	if !s.Active() || !deadline.After(s.End) {
 		return true
@@ -69,10 +72,11 @@
 	return !now.Add(expected + time.Duration(margin*float64(expected))).After(s.End)
 }
 
-// stopRetryAfter is when a caller may ask another node: at once.
+// stopRetryAfter is the Retry-After of a stopping node. It is short because the
+// caller may try another node immediately.
 const stopRetryAfter = 20 * time.Millisecond
 
-// refusal refuses a request that this node has no time for.
+// refusal returns the refusal of a request that this node has no time left for.
 func (s Stop) refusal(now time.Time, expected time.Duration) refusal {
 	return refusal{
 		status: http.StatusServiceUnavailable, reason: "node_stops", retryAfter: stopRetryAfter,
@@ -80,7 +84,7 @@
 	}
 }
 
-// stop returns the planned stop that is under way.
+// stop returns the current planned stop, the zero value if there is none.
 func (g *Gateway) stop() Stop {
 	if g.Stopping == nil {
 		return Stop{}
--- a/gateway/stop_expected_test.go
+++ b/gateway/stop_expected_test.go
@@ -13,11 +13,12 @@
 	"redwinghall/platform/platformtest"
 )
 
-// A service answers look-ups at once and bookings in two seconds. A node that
-// has 1.5 s left takes a booking, and cuts it at its end: the caller must not
-// repeat it and doesn't know whether it ran. Cause: how long a call may take is
-// expected from the mean of all calls to its endpoint, and look-ups are most of them.
-func TestStoppingGatewayExpectsACallByItsRoute(t *testing.T) {
+// A service answers look-ups at once and bookings in two seconds. A node with 1.5 s
+// left must refuse a booking: it would cut it off when it exits, and the caller must
+// not repeat it and doesn't know whether it was executed. This happens if the
+// duration of a call is predicted from the mean of all calls to its endpoint, most of
+// which are look-ups.
+func TestStoppingGatewayPredictsDurationByRoute(t *testing.T) {
 	t.Parallel()
 	s := newFixture(t)
 	const bookingTime = 2 * time.Second
--- a/gateway/stop_plain_test.go
+++ b/gateway/stop_plain_test.go
@@ -11,9 +11,9 @@
 	"redwinghall/gateway"
 )
 
-// A booking comes 0.3 s before a node's end, with a caller who would wait for
-// longer. Taken, it would be cut, and its caller couldn't tell whether it ran.
-// So it is refused unrun, as a stream is.
+// An unsafe request arrives 0.3 s before a stopping node exits, and its caller would
+// wait longer than that. It must be refused without being executed, as streams are;
+// otherwise it is cut off, and its caller can't tell whether it was executed.
 func TestStoppingGatewayRefusesLateBookings(t *testing.T) {
 	t.Parallel()
 	s := newFixture(t)
--- a/gateway/stop_retry_test.go
+++ b/gateway/stop_retry_test.go
@@ -13,16 +13,17 @@
 	"redwinghall/platform/platformtest"
 )
 
-// A stopping node takes a request that it can finish. The first endpoint keeps
-// it for a while and promises that it didn't run it; by then a second try can't
-// end in time. The node sends it to the second endpoint all the same, and cuts
-// it there at its end: callers see a broken answer, or a booking without one,
-// instead of an honest 503. Cause: only the first try is held against the stop.
-func TestStoppingGatewayHoldsRetriesAgainstItsEnd(t *testing.T) {
+// A stopping node accepts a request that it can finish. The first endpoint holds it
+// for a while and then rejects it as not executed; by then a retry can't finish
+// before the node exits. The gateway must answer 503 instead of retrying, or the node
+// cuts off the second attempt and the caller gets a truncated stream, or no response
+// to a booking. This happens if only the first attempt is checked against the planned
+// stop.
+func TestStoppingGatewayChecksRetriesAgainstItsEnd(t *testing.T) {
 	t.Parallel()
 	for _, one := range []struct {
 		path, service string
-		left          time.Duration // of the node's time, when the request comes
+		left          time.Duration // until the node ends, when the request arrives
 	}{
 		{"/book2/x", "desk", 1000 * time.Millisecond},
 		{"/stream/x", "llm", 1100 * time.Millisecond},
@@ -31,9 +32,9 @@
 			t.Parallel()
 			s := newFixture(t)
 			var tries atomic.Int32
-			answering := func(w http.ResponseWriter, r *http.Request) {
+			handler := func(w http.ResponseWriter, r *http.Request) {
 				if platformtest.Read(r).ID == "earlier" {
-					time.Sleep(300 * time.Millisecond) // which is what a call is expected to take
+					time.Sleep(300 * time.Millisecond) // the duration that the gateway expects from then on
 				} else if tries.Add(1) == 1 {
 					time.Sleep(600 * time.Millisecond)
 					w.Header().Set("Request-Id", platformtest.Read(r).ID)
@@ -44,8 +45,8 @@
 				sign(w, r)
 				writeEvents(w, 1, 3)
 			}
-			s.endpoint("one", one.service, answering)
-			s.endpoint("other", one.service, answering)
+			s.endpoint("one", one.service, handler)
+			s.endpoint("other", one.service, handler)
 			ask := func(id string) response {
 				r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), one.path, nil, platformtest.Ask{
 					ID: id, Key: "key-1", Model: "m0", Patience: 3 * time.Second, Prompt: 100, Answer: 60,
@@ -53,11 +54,11 @@
 				require.NoError(t, err)
 				return s.do(r)
 			}
-			require.Equal(t, http.StatusOK, ask("earlier").status, "a node takes no call of a route of which it has seen none")
+			require.Equal(t, http.StatusOK, ask("earlier").status, "a stopping node accepts no call of a route without a recorded duration")
 			now := time.Now()
 			s.stop = gateway.Stop{Begun: now.Add(-4 * time.Second), Noticed: now.Add(-2 * time.Second), End: now.Add(one.left)}
 			got := ask("r-1")
-			require.EqualValues(t, 1, tries.Load(), "the second try began with less time left than it is expected to take")
+			require.EqualValues(t, 1, tries.Load(), "the retry began with less time left than it is expected to take")
 			require.Equal(t, http.StatusServiceUnavailable, got.status)
 		})
 	}
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -14,11 +14,11 @@
 	"redwinghall/platform/platformtest"
 )
 
-// A stopping node is asked for streams, bookings and look-ups up to its end.
-// Whatever it takes and can't finish, its callers see cut. So what it takes
-// must end in time by its own deadline or by what is expected of it, with a
-// reserve that is larger once callers can find another node.
-func TestStopTakesOnlyWhatEndsInTime(t *testing.T) {
+// A stopping node gets requests until it exits, and cuts off those that it accepts
+// and can't finish. An accepted request must end in time, either by its own deadline
+// or by its expected duration plus a margin, which is larger once callers can reach
+// another node.
+func TestStopAcceptsOnlyRequestsThatEndInTime(t *testing.T) {
 	t.Parallel()
 	begun := time.Unix(1000, 0)
 	stop := gateway.Stop{Begun: begun, Noticed: begun.Add(2 * time.Second), End: begun.Add(7 * time.Second)}
@@ -42,12 +42,12 @@
 		now := begun.Add(one.at)
 		require.Equal(t, one.takes, stop.Accepts(now, one.expected, now.Add(one.left)), one.name)
 	}
-	require.True(t, gateway.Stop{}.Accepts(begun, 0, begun.Add(long)), "no stop is under way")
+	require.True(t, gateway.Stop{}.Accepts(begun, 0, begun.Add(long)), "no planned stop")
 }
 
-// A VM is suspended for two seconds while its node stops, and the operators'
-// grace goes on. Counted by the steady clock the node would have two seconds
-// more than it has, take a stream, and be killed with it.
+// A VM is suspended for two seconds while its node stops, and the operator's grace
+// period goes on. Measured by the monotonic clock the node would have two seconds
+// more than it really has, accept a stream, and be killed with it.
 func TestStopCountsSuspendedTime(t *testing.T) {
 	t.Parallel()
 	begun, boot := time.Unix(1000, 0), time.Unix(50, 0)
@@ -59,23 +59,23 @@
 	const stream, patience = 5 * time.Second, 20 * time.Second
 	require.True(t, awake.Accepts(now, stream, now.Add(patience)))
 	require.False(t, suspended.Accepts(now, stream, now.Add(patience)))
-	require.Equal(t, stop, stop.AdjustForSuspend(now, boot), "clocks that are read one after the other differ a little")
+	require.Equal(t, stop, stop.AdjustForSuspend(now, boot), "a boot clock that lags behind must not extend the stop")
 }
 
-// Callers of a node that stops: a stream that would outlast it is refused
-// unrun and at once, so that its caller has its whole time elsewhere; short
-// streams, and calls whose deadline is near, are served as ever.
-func TestStoppingGatewayRefusesWhatOutlastsIt(t *testing.T) {
+// A stopping node must refuse a stream that would outlast it at once and without
+// executing it, so that the caller has its remaining time for another node. Short
+// streams, and calls whose deadline is near, must still be served.
+func TestStoppingGatewayRefusesRequestsThatOutlastIt(t *testing.T) {
 	t.Parallel()
 	s := newFixture(t)
 	var ran sync.Map // request ids
-	answering := func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		ran.Store(platformtest.Read(r).ID, true)
 		sign(w, r)
 		writeEvents(w, 1, 3)
 	}
-	s.endpoint("engine-1", "llm", answering)
-	s.endpoint("desk-1", "desk", answering)
+	s.endpoint("engine-1", "llm", handler)
+	s.endpoint("desk-1", "desk", handler)
 	now := time.Now()
 	s.stop = gateway.Stop{Begun: now.Add(-4 * time.Second), Noticed: now.Add(-2 * time.Second), End: now.Add(2 * time.Second)}
 	for _, one := range []struct {
@@ -89,9 +89,9 @@
 		{"/stream/x", 0, 3 * time.Second, http.StatusServiceUnavailable},
 		{"/stream/x", 6000, time.Second, http.StatusOK},
 		{"/feed/x", 0, 3 * time.Second, http.StatusServiceUnavailable},
-		{"/book/x", 0, 3 * time.Second, http.StatusServiceUnavailable}, // no booking was seen yet
+		{"/book/x", 0, 3 * time.Second, http.StatusServiceUnavailable}, // the route has no recorded duration yet
 		{"/book/x", 0, time.Second, http.StatusOK},
-		{"/book/x", 0, 2900 * time.Millisecond, http.StatusOK}, // takes as long as the one before
+		{"/book/x", 0, 2900 * time.Millisecond, http.StatusOK}, // expected to take as long as the previous call
 		{"/look/x", 0, time.Second, http.StatusOK},
 	} {
 		id := fmt.Sprintf("%s, %d tokens, %s", one.path, one.answer, one.patience)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -18,39 +18,40 @@
 )
 
 const (
-	// minStallTimeout is how long nothing may move in a group before its streams
-	// go on elsewhere: longer than a pass that reads prompts at every step, and
-	// short enough that callers have not left yet.
+	// minStallTimeout is how long a group may make no progress before its streams
+	// resume elsewhere. It is longer than an engine pass that processes prompts at
+	// every step, and short enough that callers have not disconnected yet.
 	minStallTimeout = 700 * time.Millisecond
-	// stallCheckInterval is how often that is looked at.
+	// stallCheckInterval is the minimum time between two checks for a stall.
 	stallCheckInterval = 100 * time.Millisecond
-	// plainStallPauses is how many of the longest good pauses a plain service's
-	// stream may be silent.
+	// plainStallPauses is the stall timeout of a plain service's stream, in multiples
+	// of the route's pause objective.
 	plainStallPauses = 6
 )
 
-var errStalled = errors.New("nothing moves in the group")
+var errStalled = errors.New("the group makes no progress")
 
-// streamCall is the progress of one stream.
+// streamCall is the state of one stream.
 type streamCall struct {
 	g           *Gateway
 	r           *Request
 	w           http.ResponseWriter
 	flush       *http.ResponseController
 	tried       map[string]bool
-	sent        atomic.Int64 // groups that may have seen the request
+	sent        atomic.Int64 // attempts whose request may have reached a group
 	failedDials int
-	// mayHaveRun says that a group may have run the request, or be running it.
+	// mayHaveRun is true if a group may have executed the request or may still be
+	// executing it.
 	mayHaveRun   bool
-	headersSent  bool  // the caller has the headers
-	lastID       int64 // of the last event that the caller has
+	headersSent  bool  // the response headers were sent to the caller
+	lastID       int64 // id of the last event sent to the caller, valid if hasID
 	hasID        bool
-	firstEventAt time.Time // of the first event
+	firstEventAt time.Time // when the first event arrived
 	longestPause time.Duration
 	lastEventAt  time.Time
 }
 
-// serveStream answers a request by a series of events.
+// serveStream handles a request whose response is a stream of events.
 func (g *Gateway) serveStream(ctx context.Context, w http.ResponseWriter, r *Request) {
 	call := &streamCall{g: g, r: r, w: w, flush: http.NewResponseController(w), tried: map[string]bool{}}
 	if id, err := strconv.ParseInt(r.Ask.LastEvent, 10, 64); err == nil {
@@ -83,8 +84,8 @@
 	}
 }
 
-// choose returns the endpoint for the stream: the head of a group that serves
-// its model, or an endpoint of a plain service.
+// choose returns the endpoint for the stream: the head of a group that serves its
+// model, or an endpoint of a plain service.
 func (c *streamCall) choose(ctx context.Context) (balance.Choice, *balance.Refusal) {
 	ask := c.g.ask(c.r, c.tried)
 	ask.GoesOn = c.sent.Load() > 0
@@ -96,8 +97,9 @@
 	})
 }
 
-// stallTimeout returns how long nothing may move before the stream goes on
-// elsewhere. Of plain services only the pause is known that operators want.
+// stallTimeout returns how long the endpoint may make no progress before the stream
+// resumes elsewhere. For plain services it is derived from the route's pause
+// objective, as nothing else is known of their pace.
 func (c *streamCall) stallTimeout() time.Duration {
 	if c.r.Service.Engine != nil {
 		return minStallTimeout
@@ -105,17 +107,18 @@
 	return max(minStallTimeout, plainStallPauses*c.r.Route.PauseObjective)
 }
 
-// streamAttempt is how one attempt of a stream ended.
+// streamAttempt is the result of one attempt of a stream.
 type streamAttempt struct {
-	done   bool // the caller has its whole answer
+	done   bool // the caller has the complete response
 	notRun bool
-	// retryCharged says that the retry budget was already asked for the next attempt.
+	// retryCharged is true if the retry budget was already charged for the next
+	// attempt.
 	retryCharged bool
 	err          error
-	response       *Response
+	response     *Response
 }
 
-// attempt sends the stream to one group and passes on what comes back.
+// attempt sends the request to one group and relays its response.
 func (c *streamCall) attempt(ctx context.Context, choice balance.Choice) streamAttempt {
 	c.tried[choice.Endpoint.ID] = true
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -134,9 +137,9 @@
 		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
 		c.g.ReportStall(choice.Endpoint.ID)
 	case last.notRun && c.r.Service.Engine != nil:
-		// Guard: while the store is away, a head whose group has closed looks open here,
-		// and emptier than all others. Streams would go there first, one after the
-		// other, and have no second try left.
+		// While the store is unreachable, the head of a closed group still looks open
+		// here, and less loaded than all others. Streams would be sent to it one
+		// after the other and use up their only retry.
 		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
 	}
 	if !ok {
@@ -147,7 +150,7 @@
 	return last
 }
 
-// exchange sends the request and relays the answer's events.
+// exchange sends the request and relays the events of the response.
 func (c *streamCall) exchange(ctx context.Context, choice balance.Choice) streamAttempt {
 	lastEvent := ""
 	if c.hasID {
@@ -173,7 +176,7 @@
 	case response.Status != http.StatusOK:
 		return c.forwardFailure(response)
 	case !response.Verdict.Signed || response.Verdict.RequestID != c.r.Ask.ID || response.Verdict.Encoded:
-		return streamAttempt{err: redwinghall.NewOpError("streamCall.exchange", Unknown, errWrongRequest)}
+		return streamAttempt{err: redwinghall.NewOpError("streamCall.exchange", Unknown, errWrongResponse)}
 	}
 	c.sendHeaders(response)
 	err = c.relay(choice, response)
@@ -188,23 +191,24 @@
 	return streamAttempt{done: true}
 }
 
-// forwardFailure hands an endpoint's own failure to the caller, unless a second
-// try may do better.
-func (c *streamCall) forwardFailure(answer *Response) streamAttempt {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedResponse))
-	if err != nil || c.headersSent || statusMeansNotRun(answer.Status) || answer.Status < http.StatusMultipleChoices {
+// forwardFailure forwards an endpoint's error response to the caller, unless a retry
+// may succeed.
+func (c *streamCall) forwardFailure(response *Response) streamAttempt {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse))
+	if err != nil || c.headersSent || statusMeansNotRun(response.Status) || response.Status < http.StatusMultipleChoices {
 		return streamAttempt{err: redwinghall.NewOpError("streamCall.forwardFailure", Unknown, errors.Join(errEndpointFailed, err))}
 	}
-	if answer.Status >= http.StatusInternalServerError && c.r.Idempotent() && c.sent.Load() < int64(c.r.Route.MaxAttempts) {
+	if response.Status >= http.StatusInternalServerError && c.r.Idempotent() && c.sent.Load() < int64(c.r.Route.MaxAttempts) {
 		return streamAttempt{err: redwinghall.NewOpError("streamCall.forwardFailure", Unknown, errEndpointFailed)}
 	}
-	c.g.forwardResponse(c.w, c.r, plainAttempt{response: answer, body: body})
+	c.g.forwardResponse(c.w, c.r, plainAttempt{response: response, body: body})
 	return streamAttempt{done: true}
 }
 
 var errEndpointFailed = errors.New("the endpoint failed the request")
 
-// sendHeaders sends the first endpoint's headers; a later one's are left out.
+// sendHeaders sends the response headers of the first endpoint; those of later
+// endpoints are dropped.
 func (c *streamCall) sendHeaders(response *Response) {
 	if c.headersSent {
 		return
@@ -214,8 +218,8 @@
 	c.w.WriteHeader(response.Status)
 }
 
-// relay passes events on until the answer ends. The error is nil only if it
-// ended whole.
+// relay forwards events until the response ends. The error is nil only if the
+// response was complete.
 func (c *streamCall) relay(choice balance.Choice, response *Response) error {
 	events := newEventSplitter(response.Body)
 	pace := c.predictedPause()
@@ -246,7 +250,8 @@
 
 func (c *streamCall) flushEvents() error { return c.flush.Flush() }
 
-// alreadySent reports whether the caller already has an event, and notes it otherwise.
+// alreadySent reports whether the caller already has an event. If not, it records the
+// id of the event as the last one sent.
 func (c *streamCall) alreadySent(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
@@ -268,8 +273,9 @@
 	c.lastEventAt = now
 }
 
-// predictedPause returns the pause between events that the engine's figures
-// predict for a number of running requests.
+// predictedPause returns a function that predicts the pause between events for a
+// number of running requests from the engine's parameters. It is nil if the service
+// has no engine or the model is unknown.
 func (c *streamCall) predictedPause() func(int) time.Duration {
 	if c.r.Service.Engine == nil {
 		return nil
@@ -282,7 +288,7 @@
 	return func(running int) time.Duration { return pace.Pass(running, 0) }
 }
 
-// shouldRetry reports whether another group may get the stream.
+// shouldRetry reports whether the stream may be sent to another group.
 func (c *streamCall) shouldRetry(ctx context.Context, last streamAttempt) bool {
 	now := time.Now()
 	switch {
@@ -298,13 +304,13 @@
 	return last.retryCharged || c.g.mayRetry(c.r, int(c.sent.Load()), now)
 }
 
-// resumable reports whether the stream may go on at another group from where
-// the caller is.
+// resumable reports whether another group can continue the stream after the last
+// event that the caller has.
 func (c *streamCall) resumable() bool {
 	return c.r.Route.Kind == fleet.Streaming && c.r.Route.Resumable && (!c.headersSent || c.hasID || c.firstEventAt.IsZero())
 }
 
-// giveUp ends a stream that no endpoint will finish.
+// giveUp ends a stream that no endpoint can complete.
 func (c *streamCall) giveUp(ctx context.Context) {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -318,8 +324,8 @@
 	}
 }
 
-// refuse answers the caller, or breaks its stream off if it has begun: an
-// answer that ends early must not look complete.
+// refuse sends an error response, or aborts the connection if the response has begun:
+// a truncated stream must not look complete.
 func (c *streamCall) refuse(why refusal) {
 	if c.headersSent {
 		now := time.Now()
@@ -329,7 +335,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if c.mayHaveRun && why.status == http.StatusServiceUnavailable {
-		why.status = http.StatusBadGateway // 503 would say that it has not run
+		why.status = http.StatusBadGateway // 503 would guarantee that it was not executed
 	}
 	c.g.refuse(c.w, c.r, why)
 }
--- a/gateway/turned_away_test.go
+++ b/gateway/turned_away_test.go
@@ -13,9 +13,10 @@
 	"redwinghall/platform/platformtest"
 )
 
-// While the store is away, a head whose group has closed looks open, and emptier than
-// the others: stream after stream goes there, is turned away, and uses its last try.
-func TestHeadThatTurnsAwayIsLeftAlone(t *testing.T) {
+// While the store is unreachable, the head of a closed group looks open, and less
+// loaded than the others. After one rejection it must be avoided, or stream after
+// stream is sent there and uses up its last retry.
+func TestRejectingHeadIsAvoided(t *testing.T) {
 	s := newFixture(t)
 	var turnedAway atomic.Int32
 	s.endpoint("closed", "llm", func(w http.ResponseWriter, _ *http.Request) {
@@ -33,9 +34,9 @@
 	require.Equal(t, int32(1), turnedAway.Load())
 }
 
-// A node has just started and has read no entries yet. Its caller is told to come back
-// soon, not as late as where there is no endpoint.
-func TestNodeThatHasReadNoEntries(t *testing.T) {
+// A node that has just started and has read no entries yet must send a shorter
+// Retry-After than a node that knows that there is no endpoint.
+func TestRetryAfterBeforeFirstRead(t *testing.T) {
 	s := newFixture(t)
 	soon := s.do(s.request(http.MethodPost, "/stream/x"))
 	require.Equal(t, http.StatusServiceUnavailable, soon.status)
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -17,38 +17,38 @@
 	"redwinghall/platform"
 )
 
-// Limits of the connections to endpoints.
+// Settings of the connections to endpoints.
 const (
-	// connectTimeout is far above a round trip between zones, and short enough
-	// to try another endpoint within a strict objective.
+	// connectTimeout is far above a round trip between zones, and short enough to try
+	// another endpoint within a strict objective.
 	connectTimeout = 150 * time.Millisecond
-	// idleTimeout closes connections that are no longer needed.
+	// idleTimeout closes unused connections.
 	idleTimeout = 12 * time.Second
 	idlePerHost = 64
-	// The keep-alive probes find idle connections that went silent.
+	// TCP keep-alive probes detect idle connections whose peer no longer responds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 	connBufferSize    = 4 << 10
 )
 
-// Kind says what a failed request to an endpoint means.
+// Kind classifies a failed request to an endpoint.
 type Kind string
 
 // The kinds of upstream error.
 const (
-	// NotSent: no byte of the request left this node.
+	// NotSent means that no byte of the request left this node.
 	NotSent Kind = "not_sent"
-	// Unknown: the endpoint may have run the request.
+	// Unknown means that the endpoint may have executed the request.
 	Unknown Kind = "unknown"
 )
 
 // Error is a failed request to an endpoint.
 type Error = redwinghall.OpError[Kind]
 
-var errWrongRequest = errors.New("the answer belongs to another request")
+var errWrongResponse = errors.New("the response is not the endpoint's own response to this request")
 
-// countingConn counts what was written, to tell requests that never left.
+// countingConn counts the bytes written, to identify requests that were never sent.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
@@ -60,7 +60,7 @@
 	return n, err
 }
 
-// Upstream sends requests to endpoints over kept connections.
+// Upstream sends requests to endpoints over pooled connections.
 type Upstream struct {
 	transport *http.Transport
 }
@@ -87,15 +87,15 @@
 	}}
 }
 
-// Close drops all kept connections.
+// Close closes all idle connections.
 func (u *Upstream) Close() { u.transport.CloseIdleConnections() }
 
-// onceBody is a request body that the library can't rewind.
+// onceBody is a request body that net/http can't rewind.
 //
-// Guard: net/http sends a request again by itself when a kept connection
-// breaks before the answer, if the request has no body or one that can be
-// rewound. A call that may not be repeated would run twice. A body of a type
-// that the library doesn't know is never sent again.
+// net/http resends a request by itself when a reused connection breaks before the
+// response, if the request has no body or one that can be rewound. A request that
+// must not be repeated would be executed twice. net/http never resends a body whose
+// type it does not know.
 type onceBody struct {
 	data []byte
 }
@@ -111,16 +111,17 @@
 
 func (b *onceBody) Close() error { return nil }
 
-// Response is an endpoint's answer; its body must be closed.
+// Response is an endpoint's response; its body must be closed.
 type Response struct {
 	Status  int
 	Header  http.Header
 	Body    io.ReadCloser
-	Length  int64 // -1 if the answer doesn't say
+	Length  int64 // -1 if unknown
 	Verdict platform.Verdict
 }
 
-// Send sends one request to an endpoint, once. Ending ctx closes the connection.
+// Send sends one request to an endpoint, without retries. Cancelling ctx closes the
+// connection.
 func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.Forward) (*Response, error) {
 	var conn *countingConn
 	var before int64
@@ -137,32 +138,34 @@
 		Body:          &onceBody{data: in.Body},
 		ContentLength: int64(len(in.Body)),
 	}
-	answer, err := u.transport.RoundTrip(out.WithContext(ctx))
+	response, err := u.transport.RoundTrip(out.WithContext(ctx))
 	if err != nil {
 		if conn == nil || conn.written.Load() == before {
 			return nil, redwinghall.NewOpError("Upstream.Send", NotSent, err)
 		}
 		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, err)
 	}
-	verdict := platform.DecodeVerdict(answer.StatusCode, answer.Header)
+	verdict := platform.DecodeVerdict(response.StatusCode, response.Header)
 	if verdict.RequestID != "" && verdict.RequestID != in.Ask.ID {
-		// Guard: an endpoint may send a second, late answer on a kept connection,
-		// where the next request's answer is expected. The echoed id tells.
-		_ = answer.Body.Close()
-		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, errWrongRequest)
+		// An endpoint may send a late second response to an earlier request on a
+		// reused connection, in place of the next request's response. The echoed
+		// request id reveals it.
+		_ = response.Body.Close()
+		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, errWrongResponse)
 	}
 	return &Response{
-		Status: answer.StatusCode, Header: answer.Header, Body: answer.Body,
-		Length: answer.ContentLength, Verdict: verdict,
+		Status: response.StatusCode, Header: response.Header, Body: response.Body,
+		Length: response.ContentLength, Verdict: verdict,
 	}, nil
 }
 
-// endpointURL keeps the caller's path and query byte for byte.
+// endpointURL returns the URL of a request at an endpoint, with the caller's path and
+// query byte for byte.
 func endpointURL(address, target string) *url.URL {
 	if !strings.HasPrefix(target, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: target}
 	}
-	// The library would take the first part of such a path for a host.
+	// net/http would take the first part of such a path for a host.
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
 		return &url.URL{Scheme: "http", Host: address, Path: target}
--- a/node/node.go
+++ b/node/node.go
@@ -94,11 +94,11 @@
 	})
 	n.gateway = gateway.New(gateway.Options{
 		Settings: n.inForce, Book: n.book, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
-		Shares:   n.shares,
+		Shares:       n.shares,
 		ReportStall:  n.suspect,
-		Placer:   newZonePlacer(n),
-		PermitIssuer:   lender{n},
-		Stopping: n.plannedStop,
+		Placer:       newZonePlacer(n),
+		PermitIssuer: lender{n},
+		Stopping:     n.plannedStop,
 	})
 	n.follower = directory.NewFollower(n.source, n.book, n.manager.Pending).WithKnown(n.table.Known())
 	return n
