--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -127,8 +127,8 @@
 	})
 }
 
-// A request with two seconds left arrives while ten others wait and one is served
-// each second. It must be refused at once, not after its deadline. This fails if the
+// A request with two seconds left arrives while 15 others wait and one is served each
+// second. It must be refused at once, not after its deadline. This fails if the
 // expected wait is not compared with the remaining time.
 func TestRequestThatCannotMeetItsDeadlineIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -31,7 +31,7 @@
 		served []string
 	}{
 		"its choice is taken":      {map[string]string{"b": "b2", "c": "c1"}, 200, []string{"b2", "c1"}},
-		"no answer":                {map[string]string{}, 200, []string{"b1", "b2", "c1"}},
+		"no reply":                 {map[string]string{}, 200, []string{"b1", "b2", "c1"}},
 		"an endpoint unknown here": {map[string]string{"b": "b9", "c": "c9"}, 200, []string{"b1", "b2", "c1"}},
 		"one zone is full":         {map[string]string{"b": "", "c": "c1"}, 200, []string{"c1"}},
 		"all zones are full":       {map[string]string{"b": "", "c": ""}, 503, []string{""}},
@@ -60,8 +60,8 @@
 		offers map[string]string
 		served string
 	}{
-		"another zone answers": {map[string]string{"c": "c1"}, "c1"},
-		"another zone is full": {map[string]string{"c": ""}, "b1"},
+		"another zone responds": {map[string]string{"c": "c1"}, "c1"},
+		"another zone is full":  {map[string]string{"c": ""}, "b1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t)
@@ -77,9 +77,9 @@
 	}
 }
 
-// A zone offers a group that has become cold without knowing it yet. The request
-// budget of cold groups is divided among the nodes, and a stream sent there would
-// exceed this node's share and could overload the group.
+// A zone offers a group that has become cold, as it does not know that yet. The
+// request budget of cold groups is divided among the nodes, and a stream sent there
+// would exceed this node's share and could overload the group.
 func TestStreamAvoidsGroupThatTurnedCold(t *testing.T) {
 	s := newFixture(t)
 	service := s.config.Services["llm"]
@@ -118,10 +118,10 @@
 		served    []string
 		asked     []string
 	}{
-		"it chooses":                       {map[string]string{"a": "a2"}, "", []string{"a2"}, []string{"a"}},
-		"it has no room, another zone has": {map[string]string{"a": "", "b": "", "c": "c1"}, "c", []string{"c1"}, []string{"a", "c"}},
-		"it gives no answer":               {map[string]string{}, "", []string{"a1", "a2"}, []string{"a"}},
-		"it is out of date":                {map[string]string{"a": "gone"}, "", []string{"a1", "a2"}, []string{"a"}},
+		"it chooses":                           {map[string]string{"a": "a2"}, "", []string{"a2"}, []string{"a"}},
+		"it has no capacity, another zone has": {map[string]string{"a": "", "b": "", "c": "c1"}, "c", []string{"c1"}, []string{"a", "c"}},
+		"it does not respond":                  {map[string]string{}, "", []string{"a1", "a2"}, []string{"a"}},
+		"it is out of date":                    {map[string]string{"a": "gone"}, "", []string{"a1", "a2"}, []string{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t)
