--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,7 +31,7 @@
 type Options struct {
 	// Settings returns the current settings.
 	Settings func() fleet.Settings
-	Book     *directory.Book
+	Cache    *directory.Book
 	Tracker  *balance.Tracker
 	Upstream *Upstream
 	// Shares returns the current node counts.
@@ -85,7 +85,7 @@
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, in *http.Request) {
 	now := time.Now()
-	g.awaitStartup(in.Context(), now, g.Book.Configured())
+	g.awaitStartup(in.Context(), now, g.Cache.Configured())
 	request, refusal := g.resolve(in, now)
 	if refusal != nil {
 		g.refuse(w, request, *refusal)
@@ -98,7 +98,7 @@
 		return
 	}
 	request.Body = body
-	request.view = g.Book.View() // the view may have changed while a slow caller sent its body
+	request.view = g.Cache.View() // the view may have changed while a slow caller sent its body
 	g.budget.Request(now, request.Service.Name)
 	ctx, cancel := context.WithDeadline(in.Context(), request.Deadline)
 	defer cancel()
@@ -114,7 +114,7 @@
 func (g *Gateway) resolve(in *http.Request, now time.Time) (*Request, *refusal) {
 	r := &Request{
 		Ask: platform.DecodeAsk(in.Header), Method: in.Method, Host: in.Host, Target: in.RequestURI,
-		Header: in.Header, Arrived: now, view: g.Book.View(),
+		Header: in.Header, Arrived: now, view: g.Cache.View(),
 	}
 	if in.URL.IsAbs() {
 		r.Target = in.URL.RequestURI()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -103,7 +103,7 @@
 	s := &fixture{t: t, book: directory.NewBook(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
 	s.settings = fleet.Settings{Zone: "a", Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 100}}
 	g := gateway.New(gateway.Options{
-		Settings: func() fleet.Settings { return s.settings }, Book: s.book, Tracker: s.tracker, Upstream: gateway.NewUpstream(),
+		Settings: func() fleet.Settings { return s.settings }, Cache: s.book, Tracker: s.tracker, Upstream: gateway.NewUpstream(),
 		Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return s.shares }, ReportStall: func(string) {},
 		Placer: &s.placer, Stopping: func() gateway.Stop { return s.stop },
 	})
@@ -238,7 +238,7 @@
 func TestUnknownConfigurationReturns503(t *testing.T) {
 	s := newFixture(t)
 	g := gateway.New(gateway.Options{
-		Settings: func() fleet.Settings { return fleet.Settings{} }, Book: directory.NewBook(), Tracker: balance.NewTracker(),
+		Settings: func() fleet.Settings { return fleet.Settings{} }, Cache: directory.NewBook(), Tracker: balance.NewTracker(),
 		Upstream: gateway.NewUpstream(), Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return gateway.Shares{} },
 	})
 	w := httptest.NewRecorder()
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -71,7 +71,7 @@
 	for {
 		choice, refused := g.choosePlain(ctx, r, g.ask(r, call.tried))
 		if refused != nil && g.awaitEndpoints(ctx, time.Now(), refused) {
-			r.view = g.Book.View()
+			r.view = g.Cache.View()
 			continue
 		}
 		if refused != nil {
@@ -82,7 +82,7 @@
 		call.mayHaveRun = call.mayHaveRun || (!last.notRun && redwinghall.KindOf[Kind](last.err) != NotSent)
 		if call.shouldRetry(ctx, last) {
 			last.close()
-			r.view = g.Book.View()
+			r.view = g.Cache.View()
 			continue
 		}
 		defer last.close()
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -49,7 +49,7 @@
 // so it gets a reason and a shorter Retry-After of its own.
 func (g *Gateway) noEndpointRefusal(refused *balance.Refusal) refusal {
 	why := fromBalance(refused)
-	if refused.Reason == balance.NoEndpoint && g.Book.Read().IsZero() {
+	if refused.Reason == balance.NoEndpoint && g.Cache.Read().IsZero() {
 		why.reason, why.retryAfter = "endpoints_unknown", startupRetryAfter
 	}
 	return why
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -69,7 +69,7 @@
 	if !c.r.Idempotent() || c.sent.Load() >= int64(c.r.Route.MaxAttempts) {
 		return false
 	}
-	view := c.g.Book.View()
+	view := c.g.Cache.View()
 	others := view.ByService[c.r.Service.Name]
 	if c.r.Service.Engine != nil {
 		others = view.Heads(c.r.Service.Name, c.r.Ask.Model)
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -45,5 +45,5 @@
 // chosen because none has been read yet. It reports whether the choice should be
 // repeated.
 func (g *Gateway) awaitEndpoints(ctx context.Context, now time.Time, refused *balance.Refusal) bool {
-	return refused.Reason == balance.NoEndpoint && !isClosed(g.Book.Listed()) && g.awaitStartup(ctx, now, g.Book.Listed())
+	return refused.Reason == balance.NoEndpoint && !isClosed(g.Cache.Listed()) && g.awaitStartup(ctx, now, g.Cache.Listed())
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -60,7 +60,7 @@
 	for {
 		choice, refused := call.choose(ctx)
 		if refused != nil && g.awaitEndpoints(ctx, time.Now(), refused) {
-			r.view = g.Book.View()
+			r.view = g.Cache.View()
 			continue
 		}
 		if refused != nil {
@@ -80,7 +80,7 @@
 			call.giveUp(ctx)
 			return
 		}
-		r.view = g.Book.View()
+		r.view = g.Cache.View()
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -93,7 +93,7 @@
 		Running:  n.tracker.Running,
 	})
 	n.gateway = gateway.New(gateway.Options{
-		Settings: n.inForce, Book: n.book, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
+		Settings: n.inForce, Cache: n.book, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
 		Shares:       n.shares,
 		ReportStall:  n.suspect,
 		Placer:       newZonePlacer(n),
