--- a/gateway/place.go
+++ b/gateway/place.go
@@ -43,17 +43,17 @@
 	ticket := tickets.Open()
 	defer tickets.Close(ticket)
 	request := c.placementRequest(ask)
-	request.Ticket, request.Shunned = ticket, c.g.Tracker.Shunned(time.Now(), heads)
+	request.Ticket, request.InBackoff = ticket, c.g.Tracker.Shunned(time.Now(), heads)
 	placement, ok := c.g.Placer.Place(ctx, ask.Zone, request)
 	switch {
 	case !ok:
 		return dispatcherChoice{}, false
 	case placement.Endpoint == "":
-		klog.InfoS("dispatcher_has_no_room", "request", c.r.Ask.ID, "predicted", placement.Predicted, "elsewhere", placement.Elsewhere,
+		klog.InfoS("dispatcher_has_no_room", "request", c.r.Ask.ID, "predicted", placement.Predicted, "elsewhere", placement.AlternativeZone,
 			"limited_for", placement.LimitedFor)
 		// Without a prediction or a rate limit, the dispatcher knows of no group in
 		// this zone. This node may know of one, since views differ briefly.
-		return dispatcherChoice{elsewhere: placement.Elsewhere, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
+		return dispatcherChoice{elsewhere: placement.AlternativeZone, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
 	}
 	now := time.Now()
 	placed, usable := c.placedEndpoint(now, placement, ask)
@@ -126,7 +126,7 @@
 // placementRequest returns the request by which a zone is asked to place the stream.
 func (c *streamCall) placementRequest(ask balance.Ask) fleet.PlacementRequest {
 	request := fleet.PlacementRequest{
-		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, GoesOn: ask.GoesOn,
+		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, Resumed: ask.GoesOn,
 	}
 	for id := range ask.Tried {
 		request.Tried = append(request.Tried, id)
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -22,7 +22,7 @@
 
 // sameValue returns how values of a table's rows are compared. In the members'
 // table each writing counts, as it shows that a node lives.
-func sameValue(table string) relay.SameValue {
+func sameValue(table string) relay.EqualValues {
 	if table == platform.TableEndpoints {
 		return platform.SameEntry
 	}
@@ -59,9 +59,9 @@
 func (n *Node) neighborServer() *http.Server {
 	return &http.Server{
 		Addr: n.internalAddress(), ReadHeaderTimeout: smallHeaderTimeout,
-		Handler: neighbor.NewHandler(neighbor.Parts{
-			Mirror: n.source.Mirror, Board: n.board, Suspect: n.manager.Stalled,
-			Commit: n.source.CommitDirect, Reserve: n.reserve, Told: n.told,
+		Handler: neighbor.NewHandler(neighbor.ServerConfig{
+			Mirror: n.source.Mirror, Loads: n.board, Suspect: n.manager.Stalled,
+			Commit: n.source.CommitDirect, Reserve: n.reserve, OnLoads: n.told,
 			Limits: n.tracker, Permit: n.lend,
 		}),
 	}
@@ -75,11 +75,11 @@
 			continue
 		}
 		g.Every("share_zone "+zone, zoneInterval, func(ctx context.Context, now time.Time) {
-			theirs, ok := n.avoided.First(now, n.peersOf(zone))
+			theirs, ok := n.avoided.FirstAvailable(now, n.peersOf(zone))
 			if !ok || !n.gathers(now) {
 				return
 			}
-			if err := n.neighbors.ShareZone(ctx, theirs.Address, n.settings.Zone, n.board.Zone(now), n.tracker.ChangedLimits(now)); err != nil {
+			if err := n.neighbors.ShareZone(ctx, theirs.Address, n.settings.Zone, n.board.SumOfZone(now), n.tracker.ChangedLimits(now)); err != nil {
 				n.undispatched(time.Now(), zone, theirs, err)
 			}
 		})
--- a/node/placement.go
+++ b/node/placement.go
@@ -43,7 +43,7 @@
 	request.Node = p.node.settings.Node
 	placement, err := p.node.neighbors.Reserve(ctx, peer.Address, request)
 	if err == nil {
-		p.node.avoided.Worked(peer.Name)
+		p.node.avoided.RecordSuccess(peer.Name)
 		return placement, true
 	}
 	if ctx.Err() == nil { // else the caller left
@@ -55,7 +55,7 @@
 
 // asked returns the node that chooses for a zone: its dispatcher, or the one that gathers its loads.
 func (p *zonePlacer) asked(now time.Time, zone string) (relay.Peer, bool) {
-	return p.node.avoided.First(now, p.node.peersOf(zone))
+	return p.node.avoided.FirstAvailable(now, p.node.peersOf(zone))
 }
 
 func (p *zonePlacer) paused(now time.Time, zone string) bool {
@@ -90,14 +90,14 @@
 	for _, id := range request.Tried {
 		tried[id] = true
 	}
-	for _, id := range request.Shunned {
+	for _, id := range request.InBackoff {
 		tried[id] = true
 		n.tracker.Complain(now, id, request.Node)
 	}
 	heads := view.Heads(request.Service, request.Model)
 	ask := balance.Ask{
 		Service: service, Model: model, Zone: n.settings.Zone, Prompt: request.Prompt, Objective: request.Objective, Tried: tried,
-		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), Dispatches: n.dispatches(now), GoesOn: request.GoesOn,
+		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), Dispatches: n.dispatches(now), GoesOn: request.Resumed,
 		Lends: n.lenderShare(n.settings.Zone),
 	}
 	choice, none := n.tracker.Reserve(now, heads, view.ZonesOut, ask, balance.Claimant{Node: request.Node, Ticket: request.Ticket})
@@ -109,7 +109,7 @@
 		placement.LimitedFor = none.RetryAfter
 	}
 	if request.Ticket > 0 { // else of another zone, which asks the others itself
-		placement.Elsewhere = n.tracker.Elsewhere(now, heads, view.ZonesOut, ask)
+		placement.AlternativeZone = n.tracker.Elsewhere(now, heads, view.ZonesOut, ask)
 	}
 	return placement, true
 }
