--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -32,7 +32,7 @@
 // for each that is admitted.
 func startWaiters(g *kernel.Group, gate *admit.Gate[int], a redwinghall.ClientAccount, count int, order *[]string) {
 	for range count {
-		g.Go("enter", func(ctx context.Context) error {
+		g.Go("acquire", func(ctx context.Context) error {
 			_, err := gate.Acquire(ctx, time.Now(), a)
 			if err == nil {
 				*order = append(*order, a.ID)
@@ -171,7 +171,7 @@
 			time.Sleep(time.Minute)
 		}
 		g := kernel.NewGroup(t.Context())
-		g.Go("enter", func(ctx context.Context) error {
+		g.Go("acquire", func(ctx context.Context) error {
 			ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 			defer cancel()
 			_, err := gate.Acquire(ctx, time.Now(), a)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -43,18 +43,18 @@
 type fakePlacer struct {
 	offers map[string]string // endpoint ids by zone; a zone that is missing does not respond
 	asked  []string
-	// elsewhere is the zone that the dispatcher names if it has no capacity.
-	elsewhere string
-	// dispatched is true if another node chooses groups for this zone.
-	dispatched bool
+	// alternativeZone is the zone that the dispatcher names if it has no capacity.
+	alternativeZone string
+	// hasDispatcher is true if another node chooses groups for this zone.
+	hasDispatcher bool
 }
 
-func (p *fakePlacer) HasDispatcher(time.Time) bool { return p.dispatched }
+func (p *fakePlacer) HasDispatcher(time.Time) bool { return p.hasDispatcher }
 
 func (p *fakePlacer) Place(_ context.Context, zone string, _ fleet.PlacementRequest) (fleet.Placement, bool) {
 	p.asked = append(p.asked, zone)
 	id, ok := p.offers[zone]
-	return fleet.Placement{Endpoint: id, Predicted: 100 * time.Millisecond, AlternativeZone: p.elsewhere}, ok
+	return fleet.Placement{Endpoint: id, Predicted: 100 * time.Millisecond, AlternativeZone: p.alternativeZone}, ok
 }
 
 func engine() *fleet.Engine {
@@ -213,14 +213,14 @@
 	s := newFixture(t)
 	unknown := s.request(http.MethodGet, "/look/")
 	unknown.Header.Set("Authorization", "Bearer other")
-	elsewhere := s.request(http.MethodGet, "/nowhere/")
+	alternativeZone := s.request(http.MethodGet, "/nowhere/")
 	for name, c := range map[string]struct {
 		request *http.Request
 		status  int
 		wait    bool
 	}{
 		"unknown key":           {unknown, http.StatusUnauthorized, false},
-		"no route":              {elsewhere, http.StatusNotFound, false},
+		"no route":              {alternativeZone, http.StatusNotFound, false},
 		"no endpoint":           {s.request(http.MethodGet, "/look/"), http.StatusServiceUnavailable, true},
 		"no group of the model": {s.request(http.MethodPost, "/stream/"), http.StatusServiceUnavailable, true},
 	} {
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -22,7 +22,7 @@
 	case placement.choice != nil:
 		return *placement.choice, nil
 	case answered:
-		ask = ask.WithZonesFull(heads, placement.elsewhere)
+		ask = ask.WithZonesFull(heads, placement.alternativeZone)
 		ask.LimitedFor = placement.limitedFor
 	}
 	return c.chooseByZones(ctx, time.Now(), heads, ask)
@@ -31,9 +31,9 @@
 // dispatcherChoice is the reply of the dispatcher of this zone: the chosen group, or
 // another zone that may have capacity.
 type dispatcherChoice struct {
-	choice     *balance.Choice
-	elsewhere  string
-	limitedFor time.Duration
+	choice          *balance.Choice
+	alternativeZone string
+	limitedFor      time.Duration
 }
 
 // askDispatcher asks the dispatcher of this zone for a group. It reports false if
@@ -53,7 +53,7 @@
 			"limited_for", placement.LimitedFor)
 		// Without a prediction or a rate limit, the dispatcher knows of no group in
 		// this zone. This node may know of one, since views differ briefly.
-		return dispatcherChoice{elsewhere: placement.AlternativeZone, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
+		return dispatcherChoice{alternativeZone: placement.AlternativeZone, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
 	}
 	now := time.Now()
 	placed, usable := c.placedEndpoint(now, placement, ask)
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -113,10 +113,10 @@
 // dispatcher names, or by the choice of this node.
 func TestStreamAsksItsDispatcher(t *testing.T) {
 	for name, c := range map[string]struct {
-		offers    map[string]string
-		elsewhere string
-		served    []string
-		asked     []string
+		offers          map[string]string
+		alternativeZone string
+		served          []string
+		asked           []string
 	}{
 		"it chooses":                           {map[string]string{"a": "a2"}, "", []string{"a2"}, []string{"a"}},
 		"it has no capacity, another zone has": {map[string]string{"a": "", "b": "", "c": "c1"}, "c", []string{"c1"}, []string{"a", "c"}},
@@ -129,7 +129,7 @@
 			s.remoteGroup("a", "a2", 0)
 			s.remoteGroup("b", "b1", 0)
 			s.remoteGroup("c", "c1", 0)
-			s.placer.dispatched, s.placer.offers, s.placer.elsewhere = true, c.offers, c.elsewhere
+			s.placer.hasDispatcher, s.placer.offers, s.placer.alternativeZone = true, c.offers, c.alternativeZone
 			got := s.do(s.request(http.MethodPost, "/stream/x"))
 			require.Equal(t, http.StatusOK, got.status)
 			require.Contains(t, c.served, got.header.Get("Served-By"))
@@ -144,7 +144,7 @@
 	s := newFixture(t)
 	s.remoteGroup("a", "a1", 0)
 	s.remoteGroup("b", "b1", 0)
-	s.placer.dispatched, s.placer.offers = true, map[string]string{"a": "", "b": "b1"}
+	s.placer.hasDispatcher, s.placer.offers = true, map[string]string{"a": "", "b": "b1"}
 	got := s.do(s.request(http.MethodPost, "/stream/x"))
 	require.Equal(t, []string{"a"}, s.placer.asked)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -22,7 +22,7 @@
 	Body    []byte
 	Route   *fleet.Route
 	Service fleet.Service
-	Account *fleet.Account // nil if the route does not require a key
+	Account *fleet.Account // nil if no key is required
 	Arrived time.Time
 	// Deadline is when the timeout of the caller or of the route expires, whichever
 	// is earlier.
