--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -23,8 +23,8 @@
 type Shares struct {
 	Nodes int // nodes that take requests, including this one; 0 until this node knows the others
 	Zone  int // how many of them are in this node's zone
-	// Dispatches is true if this node chooses groups for all nodes of its zone.
-	Dispatches bool
+	// IsDispatcher is true if this node chooses groups for all nodes of its zone.
+	IsDispatcher bool
 }
 
 // Options are the dependencies of a gateway.
@@ -191,7 +191,7 @@
 	}
 	ask := balance.Ask{
 		Service: r.Service, Zone: settings.Zone, Prompt: r.Ask.Prompt, Answer: r.Ask.MaxAnswer, Objective: r.Route.Objective, Tried: tried,
-		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, Dispatches: shares.Dispatches,
+		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, Dispatches: shares.IsDispatcher,
 		ColdNear: coldZoneShare * cold / float64(zone), ColdFar: (1 - coldZoneShare) * cold / float64(max(1, nodes-zone)),
 		Connections: connectionShare(r.Service.MaxConnections, nodes),
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -160,7 +160,7 @@
 	if !n.knowsOthers() {
 		return gateway.Shares{Zone: 1}
 	}
-	return gateway.Shares{Nodes: len(n.table.Nodes()), Zone: len(n.peers()), Dispatches: n.dispatches(time.Now())}
+	return gateway.Shares{Nodes: len(n.table.Nodes()), Zone: len(n.peers()), IsDispatcher: n.dispatches(time.Now())}
 }
 
 // knowsOthers reports whether this node has read who the other nodes are.
