--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -173,11 +173,11 @@
 	panic(http.ErrAbortHandler) // the caller disconnected while sending its body
 }
 
-// ask returns the inputs of endpoint selection for a request.
+// balanceRequest returns the inputs of endpoint selection for a request.
 //
 // Before this node knows the other nodes, its budget for cold endpoints is 0: after a
 // restart of all nodes, each would otherwise spend the budget of all of them.
-func (g *Gateway) ask(r *Request, tried map[string]bool) balance.Ask {
+func (g *Gateway) balanceRequest(r *Request, tried map[string]bool) balance.Ask {
 	shares := g.Shares()
 	nodes := max(1, shares.Nodes)
 	settings := g.Settings()
@@ -189,16 +189,16 @@
 	if shares.Nodes == 0 {
 		cold = 0
 	}
-	ask := balance.Ask{
+	req := balance.Ask{
 		Service: r.Service, Zone: settings.Zone, Prompt: r.Ask.Prompt, Answer: r.Ask.MaxAnswer, Objective: r.Route.Objective, Tried: tried,
 		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, Dispatches: shares.IsDispatcher,
 		ColdNear: coldZoneShare * cold / float64(zone), ColdFar: (1 - coldZoneShare) * cold / float64(max(1, nodes-zone)),
 		Connections: connectionShare(r.Service.MaxConnections, nodes),
 	}
 	if r.Service.Engine != nil {
-		ask.Model, _ = r.Service.Engine.Model(r.Ask.Model)
+		req.Model, _ = r.Service.Engine.Model(r.Ask.Model)
 	}
-	return ask
+	return req
 }
 
 // How the request budget of a cold endpoint is divided. The nodes of its own zone get
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -12,20 +12,20 @@
 
 // chooseGroup chooses the group for a stream. If another node dispatches for this
 // zone, it is asked first; without its reply this node chooses from its own view.
-func (c *streamCall) chooseGroup(ctx context.Context, now time.Time, ask balance.Ask) (balance.Choice, *balance.Refusal) {
+func (c *streamCall) chooseGroup(ctx context.Context, now time.Time, req balance.Ask) (balance.Choice, *balance.Refusal) {
 	heads := c.r.view.Heads(c.r.Service.Name, c.r.Ask.Model)
 	if c.g.Placer == nil || !c.g.Placer.HasDispatcher(now) {
-		return c.chooseByZones(ctx, now, heads, ask)
+		return c.chooseByZones(ctx, now, heads, req)
 	}
-	placement, answered := c.askDispatcher(ctx, heads, ask)
+	placement, answered := c.askDispatcher(ctx, heads, req)
 	switch {
 	case placement.choice != nil:
 		return *placement.choice, nil
 	case answered:
-		ask = ask.WithZonesFull(heads, placement.alternativeZone)
-		ask.LimitedFor = placement.limitedFor
+		req = req.WithZonesFull(heads, placement.alternativeZone)
+		req.LimitedFor = placement.limitedFor
 	}
-	return c.chooseByZones(ctx, time.Now(), heads, ask)
+	return c.chooseByZones(ctx, time.Now(), heads, req)
 }
 
 // dispatcherChoice is the reply of the dispatcher of this zone: the chosen group, or
@@ -38,13 +38,13 @@
 
 // askDispatcher asks the dispatcher of this zone for a group. It reports false if
 // there was no usable reply.
-func (c *streamCall) askDispatcher(ctx context.Context, heads []*fleet.Endpoint, ask balance.Ask) (dispatcherChoice, bool) {
+func (c *streamCall) askDispatcher(ctx context.Context, heads []*fleet.Endpoint, req balance.Ask) (dispatcherChoice, bool) {
 	tickets := &c.g.Tracker.Tickets
 	ticket := tickets.Open()
 	defer tickets.Close(ticket)
-	request := c.placementRequest(ask)
+	request := c.placementRequest(req)
 	request.Ticket, request.InBackoff = ticket, c.g.Tracker.Shunned(time.Now(), heads)
-	placement, ok := c.g.Placer.Place(ctx, ask.Zone, request)
+	placement, ok := c.g.Placer.Place(ctx, req.Zone, request)
 	switch {
 	case !ok:
 		return dispatcherChoice{}, false
@@ -56,26 +56,26 @@
 		return dispatcherChoice{alternativeZone: placement.AlternativeZone, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
 	}
 	now := time.Now()
-	placed, usable := c.placedEndpoint(now, placement, ask)
+	placed, usable := c.placedEndpoint(now, placement, req)
 	if !usable {
 		return dispatcherChoice{}, false
 	}
-	choice := c.takePlacement(now, placed, ask, placement)
+	choice := c.takePlacement(now, placed, req, placement)
 	return dispatcherChoice{choice: &choice}, true
 }
 
 // takePlacement returns the choice that another node made for the stream.
-func (c *streamCall) takePlacement(now time.Time, placed *fleet.Endpoint, ask balance.Ask, placement fleet.Placement) balance.Choice {
-	choice := c.g.Tracker.Take(now, placed, ask, placement.Predicted)
+func (c *streamCall) takePlacement(now time.Time, placed *fleet.Endpoint, req balance.Ask, placement fleet.Placement) balance.Choice {
+	choice := c.g.Tracker.Take(now, placed, req, placement.Predicted)
 	return choice.WithPermit(choice.Permitted || placement.Permitted)
 }
 
 // placedEndpoint returns the endpoint of a placement, and whether this node may use
 // it. Where views differ, the view of this node decides: it may know of a group that
 // has become cold or closed since.
-func (c *streamCall) placedEndpoint(now time.Time, placement fleet.Placement, ask balance.Ask) (*fleet.Endpoint, bool) {
+func (c *streamCall) placedEndpoint(now time.Time, placement fleet.Placement, req balance.Ask) (*fleet.Endpoint, bool) {
 	placed, known := c.r.view.Endpoints[placement.Endpoint]
-	return placed, known && !placed.ColdAt(now) && balance.Usable(&ask.Service, placed, c.r.view.ZonesOut)
+	return placed, known && !placed.ColdAt(now) && balance.Usable(&req.Service, placed, c.r.view.ZonesOut)
 }
 
 // chooseByZones chooses a group from this node's own view. Before a stream goes to
@@ -86,49 +86,49 @@
 // A zone that does not respond is usually partitioned, and a stream sent there waits
 // for a connection that is never established. So such a zone is used only if no other
 // zone accepts the stream.
-func (c *streamCall) chooseByZones(ctx context.Context, now time.Time, heads []*fleet.Endpoint, ask balance.Ask) (balance.Choice, *balance.Refusal) {
+func (c *streamCall) chooseByZones(ctx context.Context, now time.Time, heads []*fleet.Endpoint, req balance.Ask) (balance.Choice, *balance.Refusal) {
 	view := c.r.view
 	var unanswered *balance.Choice
 	for {
-		choice, refused := c.g.Tracker.Group(now, heads, view.ZonesOut, ask)
+		choice, refused := c.g.Tracker.Group(now, heads, view.ZonesOut, req)
 		if refused != nil && unanswered != nil {
-			return c.g.Tracker.Take(now, unanswered.Endpoint, ask, unanswered.Predicted), nil
+			return c.g.Tracker.Take(now, unanswered.Endpoint, req, unanswered.Predicted), nil
 		}
-		if refused != nil || c.g.Placer == nil || choice.Endpoint.Zone == ask.Zone || choice.Endpoint.ColdAt(now) {
+		if refused != nil || c.g.Placer == nil || choice.Endpoint.Zone == req.Zone || choice.Endpoint.ColdAt(now) {
 			return choice, refused
 		}
-		placement, ok := c.g.Placer.Place(ctx, choice.Endpoint.Zone, c.placementRequest(ask))
+		placement, ok := c.g.Placer.Place(ctx, choice.Endpoint.Zone, c.placementRequest(req))
 		now = time.Now()
-		placed, usable := c.placedEndpoint(now, placement, ask)
+		placed, usable := c.placedEndpoint(now, placement, req)
 		switch {
 		case !ok:
 			choice.Visit.Withdraw()
 			if unanswered == nil {
 				unanswered = &choice
 			}
-			ask = ask.WithZoneFull(choice.Endpoint.Zone)
+			req = req.WithZoneFull(choice.Endpoint.Zone)
 		case placement.Endpoint == "":
 			klog.InfoS("zone_has_no_room", "request", c.r.Ask.ID, "zone", choice.Endpoint.Zone, "there", placement.Predicted,
 				"predicted_here", choice.Predicted, "load_age", choice.Age)
 			choice.Visit.Withdraw()
-			ask = ask.WithZoneFull(choice.Endpoint.Zone)
+			req = req.WithZoneFull(choice.Endpoint.Zone)
 		case !usable:
 			return choice, nil
 		case placed.ID == choice.Endpoint.ID:
 			return choice.WithPermit(choice.Permitted || placement.Permitted), nil
 		default:
 			choice.Visit.Withdraw()
-			return c.takePlacement(now, placed, ask, placement), nil
+			return c.takePlacement(now, placed, req, placement), nil
 		}
 	}
 }
 
 // placementRequest returns the request by which a zone is asked to place the stream.
-func (c *streamCall) placementRequest(ask balance.Ask) fleet.PlacementRequest {
+func (c *streamCall) placementRequest(req balance.Ask) fleet.PlacementRequest {
 	request := fleet.PlacementRequest{
-		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, Resumed: ask.GoesOn,
+		Service: req.Service.Name, Model: req.Model.Name, Prompt: req.Prompt, Objective: req.Objective, Resumed: req.GoesOn,
 	}
-	for id := range ask.Tried {
+	for id := range req.Tried {
 		request.Tried = append(request.Tried, id)
 	}
 	return request
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -69,7 +69,7 @@
 	}
 	defer call.recordCallTime()
 	for {
-		choice, refused := g.choosePlain(ctx, r, g.ask(r, call.tried))
+		choice, refused := g.choosePlain(ctx, r, g.balanceRequest(r, call.tried))
 		if refused != nil && g.awaitEndpoints(ctx, time.Now(), refused) {
 			r.view = g.Cache.View()
 			continue
@@ -92,9 +92,9 @@
 }
 
 // choosePlain chooses the endpoint of a plain service.
-func (g *Gateway) choosePlain(ctx context.Context, r *Request, ask balance.Ask) (balance.Choice, *balance.Refusal) {
+func (g *Gateway) choosePlain(ctx context.Context, r *Request, req balance.Ask) (balance.Choice, *balance.Refusal) {
 	return g.withinLimits(ctx, r, func(now time.Time) (balance.Choice, *balance.Refusal) {
-		return g.Tracker.Plain(now, r.view.ByService[r.Service.Name], r.view.ZonesOut, ask)
+		return g.Tracker.Plain(now, r.view.ByService[r.Service.Name], r.view.ZonesOut, req)
 	})
 }
 
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -74,7 +74,7 @@
 	if c.r.Service.Engine != nil {
 		others = view.Heads(c.r.Service.Name, c.r.Ask.Model)
 	}
-	if !c.g.Tracker.EndpointLeft(now, others, view.ZonesOut, c.g.ask(c.r, c.tried)) {
+	if !c.g.Tracker.EndpointLeft(now, others, view.ZonesOut, c.g.balanceRequest(c.r, c.tried)) {
 		return false
 	}
 	return c.g.mayRetry(c.r, int(c.sent.Load()), now)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -87,13 +87,13 @@
 // choose returns the endpoint for the stream: the head of a group that serves its
 // model, or an endpoint of a plain service.
 func (c *streamCall) choose(ctx context.Context) (balance.Choice, *balance.Refusal) {
-	ask := c.g.ask(c.r, c.tried)
-	ask.GoesOn = c.sent.Load() > 0
+	req := c.g.balanceRequest(c.r, c.tried)
+	req.GoesOn = c.sent.Load() > 0
 	if c.r.Service.Engine == nil {
-		return c.g.choosePlain(ctx, c.r, ask)
+		return c.g.choosePlain(ctx, c.r, req)
 	}
 	return c.g.withinLimits(ctx, c.r, func(now time.Time) (balance.Choice, *balance.Refusal) {
-		return c.chooseGroup(ctx, now, ask)
+		return c.chooseGroup(ctx, now, req)
 	})
 }
 
