--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -46,7 +46,7 @@
 // Error is a failed request to an endpoint.
 type Error = redwinghall.OpError[Kind]
 
-var errWrongResponse = errors.New("the response is not the expected one for this request")
+var errWrongResponse = errors.New("the response does not match the request")
 
 // countingConn counts the bytes written, to identify requests that were never sent.
 type countingConn struct {
