--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,7 +31,7 @@
 type Options struct {
 	// Settings returns the current settings.
 	Settings func() fleet.Settings
-	Cache    *directory.Book
+	Cache    *directory.Cache
 	Tracker  *balance.Tracker
 	Upstream *Upstream
 	// Shares returns the current node counts.
@@ -127,7 +127,7 @@
 		return r, &refusal{status: http.StatusNotFound, reason: "no_route"}
 	}
 	r.Route = route
-	if !route.Public && r.view.AsksForKey() {
+	if !route.Public && r.view.RequiresKey() {
 		account, ok := r.view.Account(r.Ask.Key)
 		if !ok {
 			return r, &refusal{status: http.StatusUnauthorized, reason: "unknown_key"}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -26,7 +26,7 @@
 // fixture is a gateway in front of fake endpoints, over real connections.
 type fixture struct {
 	t       testing.TB
-	book    *directory.Book
+	book    *directory.Cache
 	server  *httptest.Server
 	tracker *balance.Tracker
 	config  *fleet.Configuration
@@ -100,7 +100,7 @@
 // read nothing.
 func newUnconfiguredFixture(t testing.TB) *fixture {
 	t.Helper()
-	s := &fixture{t: t, book: directory.NewBook(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
+	s := &fixture{t: t, book: directory.NewCache(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
 	s.settings = fleet.Settings{Zone: "a", Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 100}}
 	g := gateway.New(gateway.Options{
 		Settings: func() fleet.Settings { return s.settings }, Cache: s.book, Tracker: s.tracker, Upstream: gateway.NewUpstream(),
@@ -238,7 +238,7 @@
 func TestUnknownConfigurationReturns503(t *testing.T) {
 	s := newFixture(t)
 	g := gateway.New(gateway.Options{
-		Settings: func() fleet.Settings { return fleet.Settings{} }, Cache: directory.NewBook(), Tracker: balance.NewTracker(),
+		Settings: func() fleet.Settings { return fleet.Settings{} }, Cache: directory.NewCache(), Tracker: balance.NewTracker(),
 		Upstream: gateway.NewUpstream(), Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return gateway.Shares{} },
 	})
 	w := httptest.NewRecorder()
