--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -26,7 +26,7 @@
 // fixture is a gateway in front of fake endpoints, over real connections.
 type fixture struct {
 	t       testing.TB
-	book    *directory.Cache
+	cache   *directory.Cache
 	server  *httptest.Server
 	tracker *balance.Tracker
 	config  *fleet.Configuration
@@ -92,7 +92,7 @@
 func newFixture(t testing.TB) *fixture {
 	t.Helper()
 	s := newUnconfiguredFixture(t)
-	s.book.Apply(time.Now(), directory.Change{Config: s.config})
+	s.cache.Apply(time.Now(), directory.Change{Config: s.config})
 	return s
 }
 
@@ -100,10 +100,10 @@
 // read nothing.
 func newUnconfiguredFixture(t testing.TB) *fixture {
 	t.Helper()
-	s := &fixture{t: t, book: directory.NewCache(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
+	s := &fixture{t: t, cache: directory.NewCache(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
 	s.settings = fleet.Settings{Zone: "a", Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 100}}
 	g := gateway.New(gateway.Options{
-		Settings: func() fleet.Settings { return s.settings }, Cache: s.book, Tracker: s.tracker, Upstream: gateway.NewUpstream(),
+		Settings: func() fleet.Settings { return s.settings }, Cache: s.cache, Tracker: s.tracker, Upstream: gateway.NewUpstream(),
 		Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return s.shares }, ReportStall: func(string) {},
 		Placer: &s.placer, Stopping: func() gateway.Stop { return s.stop },
 	})
@@ -132,7 +132,7 @@
 		e.Models = []string{"m0"}
 		e.Member = fleet.Membership{Group: "g-" + id, Epoch: 1, State: fleet.Open}
 	}
-	s.book.Apply(time.Now(), directory.Change{Endpoint: e})
+	s.cache.Apply(time.Now(), directory.Change{Endpoint: e})
 }
 
 func (s *fixture) request(method, path string) *http.Request {
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -21,7 +21,7 @@
 		t.Run(path, func(t *testing.T) {
 			s := newUnconfiguredFixture(t)
 			time.AfterFunc(100*time.Millisecond, func() {
-				s.book.Apply(time.Now(), directory.Change{Config: s.config})
+				s.cache.Apply(time.Now(), directory.Change{Config: s.config})
 			})
 			time.AfterFunc(200*time.Millisecond, func() {
 				for id, service := range map[string]string{"e1": "llm", "e2": "desk"} {
@@ -30,7 +30,7 @@
 						writeEvents(w, 1, 3)
 					})
 				}
-				s.book.NoteRead(fleet.Position{Version: 7})
+				s.cache.NoteRead(fleet.Position{Version: 7})
 			})
 			require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, path)).status)
 		})
@@ -59,7 +59,7 @@
 	service := s.config.Services["desk"]
 	service.ColdPerSecond = 10
 	s.config.Services["desk"] = service
-	s.book.Apply(time.Now(), directory.Change{Config: s.config})
+	s.cache.Apply(time.Now(), directory.Change{Config: s.config})
 	var cold, failing atomic.Int32
 	desk := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		cold.Add(1)
