--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -99,7 +99,7 @@
 	}
 	request.Body = body
 	request.view = g.Cache.View() // the view may have changed while a slow caller sent its body
-	g.budget.Request(now, request.Service.Name)
+	g.budget.RecordRequest(now, request.Service.Name)
 	ctx, cancel := context.WithDeadline(in.Context(), request.Deadline)
 	defer cancel()
 	if request.Route.Kind == fleet.Streaming {
@@ -177,7 +177,7 @@
 //
 // Before this node knows the other nodes, its budget for cold endpoints is 0: after a
 // restart of all nodes, each would otherwise spend the budget of all of them.
-func (g *Gateway) balanceRequest(r *Request, tried map[string]bool) balance.Ask {
+func (g *Gateway) balanceRequest(r *Request, tried map[string]bool) balance.Request {
 	shares := g.Shares()
 	nodes := max(1, shares.Nodes)
 	settings := g.Settings()
@@ -189,10 +189,10 @@
 	if shares.Nodes == 0 {
 		cold = 0
 	}
-	req := balance.Ask{
+	req := balance.Request{
 		Service: r.Service, Zone: settings.Zone, Prompt: r.Ask.Prompt, Answer: r.Ask.MaxAnswer, Objective: r.Route.Objective, Tried: tried,
-		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, Dispatches: shares.IsDispatcher,
-		ColdNear: coldZoneShare * cold / float64(zone), ColdFar: (1 - coldZoneShare) * cold / float64(max(1, nodes-zone)),
+		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, IsDispatcher: shares.IsDispatcher,
+		ColdRateOwnZone: coldZoneShare * cold / float64(zone), ColdRateOtherZones: (1 - coldZoneShare) * cold / float64(max(1, nodes-zone)),
 		Connections: connectionShare(r.Service.MaxConnections, nodes),
 	}
 	if r.Service.Engine != nil {
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -23,7 +23,7 @@
 type PermitIssuer interface {
 	// Permit requests a permit for one request to an endpoint. ok is false if no node
 	// responded.
-	Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (permit balance.Permit, ok bool)
+	Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitReport) (permit balance.Permit, ok bool)
 }
 
 // withinLimits repeats the choice of an endpoint until the rate limit of the chosen
@@ -48,7 +48,7 @@
 		if permit.Given {
 			return choice.WithPermit(true), nil
 		}
-		choice.Visit.Withdraw()
+		choice.Attempt.Cancel()
 		klog.InfoS("not_permitted", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID, "answered", ok, "wait", permit.Wait,
 			"per_second", permit.Limit.Limit.PerSecond, "limit_age", permit.Limit.Age)
 		g.Metrics.NotPermitted()
@@ -64,16 +64,16 @@
 	known := g.Tracker.Limit(time.Now(), id)
 	permit, ok := balance.Permit{}, true
 	if g.PermitIssuer == nil {
-		permit = g.Tracker.Lend(time.Now(), known, fullLimitShare)
+		permit = g.Tracker.IssuePermit(time.Now(), known, fullLimitShare)
 	} else {
 		permit, ok = g.PermitIssuer.Permit(ctx, choice.Endpoint, known)
 	}
 	now := time.Now()
 	if ok {
-		g.Tracker.LearnLimits(now, []balance.LimitWord{permit.Limit})
+		g.Tracker.MergeLimits(now, []balance.LimitReport{permit.Limit})
 	}
 	if !permit.Given {
-		g.Tracker.NotPermitted(now, id, permit.Wait)
+		g.Tracker.RecordPermitDenied(now, id, permit.Wait)
 	}
 	return permit, ok
 }
@@ -85,7 +85,7 @@
 		return
 	}
 	limit := response.Verdict.Limit
-	before, changed := choice.Visit.Limited(time.Now(), limit, !response.Verdict.NotRun)
+	before, changed := choice.Attempt.RecordLimit(time.Now(), limit, !response.Verdict.NotRun)
 	if !changed {
 		return
 	}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -92,9 +92,9 @@
 }
 
 // choosePlain chooses the endpoint of a plain service.
-func (g *Gateway) choosePlain(ctx context.Context, r *Request, req balance.Ask) (balance.Choice, *balance.Refusal) {
+func (g *Gateway) choosePlain(ctx context.Context, r *Request, req balance.Request) (balance.Choice, *balance.Refusal) {
 	return g.withinLimits(ctx, r, func(now time.Time) (balance.Choice, *balance.Refusal) {
-		return g.Tracker.Plain(now, r.view.ByService[r.Service.Name], r.view.ZonesOut, req)
+		return g.Tracker.ChoosePlain(now, r.view.ByService[r.Service.Name], r.view.ZonesOut, req)
 	})
 }
 
@@ -169,18 +169,18 @@
 func (c *plainCall) recordAttempt(choice balance.Choice, last plainAttempt) {
 	now := time.Now()
 	if last.err != nil {
-		choice.Visit.Done(now, false)
+		choice.Attempt.Done(now, false)
 		klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
 			"kind", redwinghall.KindOf[Kind](last.err), "running", choice.Running, "err", last.err)
 		return
 	}
 	load := last.response.Verdict.Load
 	if load.Known {
-		choice.Visit.Told(now, load.Running+load.Waiting)
+		choice.Attempt.RecordLoad(now, load.Running+load.Waiting)
 	}
-	choice.Visit.Done(now, !last.notRun && last.response.Status < http.StatusInternalServerError)
+	choice.Attempt.Done(now, !last.notRun && last.response.Status < http.StatusInternalServerError)
 	if last.response.Status == http.StatusMisdirectedRequest {
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	}
 	klog.InfoS("answered", "request", c.r.Ask.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "status", last.response.Status,
 		"not_run", last.notRun, "running", choice.Running, "load_age", choice.Age, "attempts", c.sent, "took", now.Sub(c.r.Arrived),
@@ -199,10 +199,10 @@
 // recordSendFailure records and logs an attempt that got no response.
 func (c *plainCall) recordSendFailure(choice balance.Choice, err error) plainAttempt {
 	now := time.Now()
-	choice.Visit.Done(now, false)
+	choice.Attempt.Done(now, false)
 	if redwinghall.KindOf[Kind](err) == NotSent {
 		c.failedDials++
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	} else {
 		c.sent++
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -68,7 +68,7 @@
 			return
 		}
 		if now, stop := time.Now(), g.stop(); !call.headersSent && !stop.Accepts(now, choice.Expected, r.Deadline) {
-			choice.Visit.Withdraw()
+			choice.Attempt.Cancel()
 			call.refuse(stop.refusal(now, choice.Expected))
 			return
 		}
@@ -88,7 +88,7 @@
 // model, or an endpoint of a plain service.
 func (c *streamCall) choose(ctx context.Context) (balance.Choice, *balance.Refusal) {
 	req := c.g.balanceRequest(c.r, c.tried)
-	req.GoesOn = c.sent.Load() > 0
+	req.Resumed = c.sent.Load() > 0
 	if c.r.Service.Engine == nil {
 		return c.g.choosePlain(ctx, c.r, req)
 	}
@@ -131,16 +131,16 @@
 	c.mayHaveRun = c.mayHaveRun || redwinghall.KindOf[Kind](last.err) == Unknown
 	ok := last.err == nil && !last.notRun
 	now := time.Now()
-	choice.Visit.Done(now, ok || (ctx.Err() != nil && !stalled.Load()))
+	choice.Attempt.Done(now, ok || (ctx.Err() != nil && !stalled.Load()))
 	switch {
 	case redwinghall.KindOf[Kind](last.err) == NotSent && ctx.Err() == nil:
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 		c.g.ReportStall(choice.Endpoint.ID)
 	case last.notRun && c.r.Service.Engine != nil:
 		// While the store is unreachable, the head of a closed group still looks open
 		// here, and less loaded than all others. Streams would be sent to it one
 		// after the other and use up their only retry.
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	}
 	if !ok {
 		klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
@@ -168,7 +168,7 @@
 	defer func() { _ = response.Body.Close() }()
 	c.g.recordLimit(c.r, choice, response)
 	if response.Verdict.Load.Known {
-		choice.Visit.Told(time.Now(), response.Verdict.Load.Running+response.Verdict.Load.Waiting)
+		choice.Attempt.RecordLoad(time.Now(), response.Verdict.Load.Running+response.Verdict.Load.Waiting)
 	}
 	switch {
 	case response.Verdict.NotRun:
@@ -232,7 +232,7 @@
 			return err
 		}
 		now := time.Now()
-		choice.Visit.Event(now, pace)
+		choice.Attempt.RecordEvent(now, pace)
 		if c.alreadySent(event) {
 			continue
 		}
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -54,7 +54,7 @@
 	n := s.node
 	// Settled is read first, so that the loads include every settled ticket.
 	report := neighbor.LoadReport{
-		Node: n.settings.Node, Settled: n.tracker.Tickets.Settled(), Loads: n.tracker.Own(now), Limits: n.tracker.HeardLimits(now),
+		Node: n.settings.Node, Settled: n.tracker.Tickets.LowestOpen(), Loads: n.tracker.OwnLoads(now), Limits: n.tracker.OwnLimitReports(now),
 	}
 	if !s.due(now, report) {
 		return
@@ -96,7 +96,7 @@
 	n := s.node
 	_, dispatched := n.dispatcher(now, n.settings.Zone)
 	report.WithOthers = !dispatched || now.Sub(s.othersReceivedAt) >= othersInterval
-	report.WithZones = n.tracker.LooksFar(now) && now.Sub(s.zonesReceivedAt) >= zonesInterval
+	report.WithZones = n.tracker.ConsidersOtherZones(now) && now.Sub(s.zonesReceivedAt) >= zonesInterval
 	report.WithLimits = peer.Name != s.limitsFrom
 	shared, err := n.neighbors.Share(ctx, peer.Address, report)
 	if err != nil {
@@ -105,13 +105,13 @@
 	}
 	received := time.Now()
 	s.limitsFrom = peer.Name
-	n.tracker.LearnLimits(received, shared.Limits)
+	n.tracker.MergeLimits(received, shared.Limits)
 	if report.WithOthers {
 		s.othersReceivedAt = now
-		n.tracker.SetOthers(received, shared.Others)
+		n.tracker.SetOwnZoneLoads(received, shared.Others)
 	}
 	if report.WithZones {
 		s.zonesReceivedAt = now
-		n.tracker.SetZones(received, shared.Zones)
+		n.tracker.SetOtherZoneLoads(received, shared.Zones)
 	}
 }
