--- a/formation/orders.go
+++ b/formation/orders.go
@@ -57,7 +57,7 @@
 
 // noteOutcome takes in what came of an order for the groups. from is the
 // endpoint's membership, and before its group's past, when the order was given.
-func (m *Manager) noteOutcome(now time.Time, n *note, order fleet.Order, from fleet.Membership, before Past, outcome fleet.Outcome) {
+func (m *Manager) noteOutcome(now time.Time, n *note, order fleet.Order, from fleet.Membership, before GroupHistory, outcome fleet.Outcome) {
 	switch order.Kind {
 	case fleet.OrderLeave:
 		if outcome == fleet.Begun || outcome == fleet.Done {
--- a/formation/past.go
+++ b/formation/past.go
@@ -8,7 +8,7 @@
 
 // groupNote is what the manager remembers of a group between plans.
 type groupNote struct {
-	Past
+	GroupHistory
 	seenAt time.Time // when it was last heard of or given an order
 }
 
@@ -24,11 +24,11 @@
 }
 
 // past returns what this holder knows of a group.
-func (m *Manager) past(group string) Past {
+func (m *Manager) past(group string) GroupHistory {
 	if g, ok := m.groups[group]; ok {
-		return g.Past
+		return g.GroupHistory
 	}
-	return Past{}
+	return GroupHistory{}
 }
 
 // forget drops what is known of groups that are long gone.
@@ -63,7 +63,7 @@
 
 // noteOpened notes what came of an order to open a group, before which its past
 // was another. An order that was refused or never given leaves that as it was.
-func (m *Manager) noteOpened(now time.Time, group string, before Past, outcome fleet.Outcome) {
+func (m *Manager) noteOpened(now time.Time, group string, before GroupHistory, outcome fleet.Outcome) {
 	g := m.groupOf(now, group)
 	switch outcome {
 	case fleet.Refused:
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -68,7 +68,7 @@
 	// Moves reports whether a head's streams advance.
 	Moves func(endpointID string) bool
 	// Past returns what this holder knows of a group beside its members' words.
-	Past func(group string) Past
+	Past func(group string) GroupHistory
 	// Fresh says that no request has come yet: loads are quick and free.
 	Fresh bool
 	// Demand is how many requests each model's groups have, smoothed; nil where
--- a/formation/proof.go
+++ b/formation/proof.go
@@ -32,9 +32,9 @@
 	ProofHeadIdle Proof = "head_idle"
 )
 
-// Past is what the holder of a zone's lease knows of a group beside its
+// GroupHistory is what the holder of a zone's lease knows of a group beside its
 // members' words. The zero value is that of a group that another one formed.
-type Past struct {
+type GroupHistory struct {
 	// Own says that this holder formed the group. Nobody else opens it.
 	Own bool
 	// Told says that this holder told the head to open, and OpenUntil is until
@@ -60,7 +60,7 @@
 	// when that is known. Both are zero where no word of it is known.
 	Head      fleet.Membership
 	HeadSince time.Time
-	Past      Past
+	Past      GroupHistory
 }
 
 // Proof returns why the VM may join another group at a time, or Unproven.
