--- a/formation/proof.go
+++ b/formation/proof.go
@@ -60,7 +60,7 @@
 	// when that is known. Both are zero where no word of it is known.
 	Head      fleet.Membership
 	HeadSince time.Time
-	Past      GroupHistory
+	History   GroupHistory
 }
 
 // Proof returns why the VM may join another group at a time, or Unproven.
@@ -70,9 +70,9 @@
 		return ProofNoGroup
 	case s.Member.Group == "":
 		return Unproven
-	case s.Standby, s.Past.Own && !s.Past.Told:
+	case s.Standby, s.History.Own && !s.History.Told:
 		return ProofNeverOpen
-	case s.Past.HeadLeft:
+	case s.History.HeadLeft:
 		return ProofHeadLeft
 	case s.headIdle():
 		return ProofHeadIdle
@@ -87,7 +87,7 @@
 	if s.Head.Group != s.Member.Group || s.Head.Epoch != s.Member.Epoch || serves(s.Head.State) {
 		return false
 	}
-	return s.Past.Own && s.HeadSince.After(s.Past.OpenUntil)
+	return s.History.Own && s.HeadSince.After(s.History.OpenUntil)
 }
 
 // serves reports whether a head in a state may have requests in progress.
