--- a/formation/plan.go
+++ b/formation/plan.go
@@ -67,8 +67,8 @@
 	Workers []*Worker
 	// Moves reports whether a head's streams advance.
 	Moves func(endpointID string) bool
-	// Past returns what this holder knows of a group beside its members' words.
-	Past func(group string) GroupHistory
+	// History returns what this holder knows of a group beside its members' words.
+	History func(group string) GroupHistory
 	// Fresh says that no request has come yet: loads are quick and free.
 	Fresh bool
 	// Demand is how many requests each model's groups have, smoothed; nil where
--- a/formation/reconcile.go
+++ b/formation/reconcile.go
@@ -20,11 +20,11 @@
 		p.closing(g)
 	case g.head().Member.State == fleet.Broken || !g.whole() || g.head().Unlisted:
 		p.release(g)
-	case p.zone.Past(g.name).Parted:
+	case p.zone.History(g.name).Parted:
 		// An order that takes a member away may still be carried out: a group
 		// that opened again would lose it while it serves.
 		p.release(g)
-	case g.ready() && !p.zone.Past(g.name).Own:
+	case g.ready() && !p.zone.History(g.name).Own:
 		// An earlier holder's orders may still be carried out, under higher
 		// epochs than this group's. A group of our own outlasts them.
 		p.release(g)
