--- a/formation/bench_test.go
+++ b/formation/bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkPlan(b *testing.B) {
 	z := &formation.Zone{
 		Engine: farmEngine(), Moves: func(string) bool { return false }, NextEpoch: func() int64 { return 100 },
-		History: func(string) formation.GroupHistory { return formation.GroupHistory{Own: true} },
+		History: func(string) formation.GroupHistory { return formation.GroupHistory{FormedHere: true} },
 	}
 	for d := range 90 {
 		for rank := range 11 {
--- a/formation/convert_test.go
+++ b/formation/convert_test.go
@@ -78,7 +78,7 @@
 func pairsZone() *formation.Zone {
 	z := &formation.Zone{
 		Engine: pairsEngine(), Moves: func(string) bool { return false }, NextEpoch: func() int64 { return 100 },
-		History: func(string) formation.GroupHistory { return formation.GroupHistory{Own: true} },
+		History: func(string) formation.GroupHistory { return formation.GroupHistory{FormedHere: true} },
 	}
 	group := func(domain, model string, epoch int64, size int, staged string) {
 		for rank := range size {
--- a/formation/past.go
+++ b/formation/past.go
@@ -49,7 +49,7 @@
 	g := m.groupOf(now, order.Group)
 	switch order.Kind {
 	case fleet.OrderJoin:
-		g.Own = true
+		g.FormedHere = true
 		if from.Group != "" && from.Group != order.Group {
 			m.groupOf(now, from.Group).Parted = true
 		}
--- a/formation/proof.go
+++ b/formation/proof.go
@@ -35,8 +35,8 @@
 // GroupHistory is what the holder of a zone's lease knows of a group beside its
 // members' words. The zero value is that of a group that another one formed.
 type GroupHistory struct {
-	// Own says that this holder formed the group. Nobody else opens it.
-	Own bool
+	// FormedHere says that this holder formed the group. Nobody else opens it.
+	FormedHere bool
 	// Told says that this holder told the head to open, and OpenUntil is until
 	// when such an order may take effect.
 	Told      bool
@@ -70,7 +70,7 @@
 		return ProofNoGroup
 	case s.Member.Group == "":
 		return Unproven
-	case s.Standby, s.History.Own && !s.History.Told:
+	case s.Standby, s.History.FormedHere && !s.History.Told:
 		return ProofNeverOpen
 	case s.History.HeadLeft:
 		return ProofHeadLeft
@@ -87,7 +87,7 @@
 	if s.Head.Group != s.Member.Group || s.Head.Epoch != s.Member.Epoch || serves(s.Head.State) {
 		return false
 	}
-	return s.History.Own && s.HeadSince.After(s.History.OpenUntil)
+	return s.History.FormedHere && s.HeadSince.After(s.History.OpenUntil)
 }
 
 // serves reports whether a head in a state may have requests in progress.
--- a/formation/proof_test.go
+++ b/formation/proof_test.go
@@ -20,7 +20,7 @@
 	head := func(state fleet.GroupState) fleet.Membership {
 		return fleet.Membership{Group: "g", Epoch: 7, State: state}
 	}
-	told := formation.GroupHistory{Own: true, Told: true, OpenUntil: now.Add(-5 * time.Second)}
+	told := formation.GroupHistory{FormedHere: true, Told: true, OpenUntil: now.Add(-5 * time.Second)}
 	for name, c := range map[string]struct {
 		standing formation.Standing
 		proof    formation.Proof
@@ -29,7 +29,7 @@
 		"may be put back into one":           {formation.Standing{RejoinUntil: now.Add(time.Second)}, formation.Unproven},
 		"could have been put back":           {formation.Standing{RejoinUntil: now}, formation.ProofNoGroup},
 		"standby":                            {formation.Standing{Member: in, Standby: true}, formation.ProofNeverOpen},
-		"own, never told to open":            {formation.Standing{Member: in, History: formation.GroupHistory{Own: true}}, formation.ProofNeverOpen},
+		"own, never told to open":            {formation.Standing{Member: in, History: formation.GroupHistory{FormedHere: true}}, formation.ProofNeverOpen},
 		"nothing known":                      {formation.Standing{Member: in}, formation.Unproven},
 		"of another holder, head ready":      {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: after}, formation.Unproven},
 		"of another holder, head broken":     {formation.Standing{Member: in, Head: head(fleet.Broken), HeadSince: after}, formation.Unproven},
@@ -41,7 +41,7 @@
 		"head ready before it was opened":    {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: before, History: told}, formation.Unproven},
 		"head ready under another epoch":     {formation.Standing{Member: in, Head: fleet.Membership{Group: "g", Epoch: 6, State: fleet.Ready}, HeadSince: after, History: told}, formation.Unproven},
 		"head unknown, told to open":         {formation.Standing{Member: in, History: told}, formation.Unproven},
-		"an order to open may be on its way": {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: after, History: formation.GroupHistory{Own: true, Told: true, OpenUntil: now}}, formation.Unproven},
+		"an order to open may be on its way": {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: after, History: formation.GroupHistory{FormedHere: true, Told: true, OpenUntil: now}}, formation.Unproven},
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, c.proof, c.standing.Proof(now))
--- a/formation/reconcile.go
+++ b/formation/reconcile.go
@@ -24,7 +24,7 @@
 		// An order that takes a member away may still be carried out: a group
 		// that opened again would lose it while it serves.
 		p.release(g)
-	case g.ready() && !p.zone.History(g.name).Own:
+	case g.ready() && !p.zone.History(g.name).FormedHere:
 		// An earlier holder's orders may still be carried out, under higher
 		// epochs than this group's. A group of our own outlasts them.
 		p.release(g)
