--- a/formation/past.go
+++ b/formation/past.go
@@ -56,7 +56,7 @@
 	case fleet.OrderLeave:
 		g.Parted = true
 	case fleet.OrderOpen:
-		g.Told, g.OpenUntil = true, later(g.OpenUntil, now.Add(lateOrders))
+		g.OpenOrdered, g.OpenUntil = true, later(g.OpenUntil, now.Add(lateOrders))
 	case fleet.OrderClose, fleet.OrderStage:
 	}
 }
@@ -67,7 +67,7 @@
 	g := m.groupOf(now, group)
 	switch outcome {
 	case fleet.Refused:
-		g.Told, g.OpenUntil = before.Told, before.OpenUntil
+		g.OpenOrdered, g.OpenUntil = before.OpenOrdered, before.OpenUntil
 	case fleet.Unanswered:
 		g.OpenUntil = later(before.OpenUntil, now.Add(lateOrders))
 	case fleet.Begun, fleet.Done:
--- a/formation/proof.go
+++ b/formation/proof.go
@@ -37,10 +37,10 @@
 type GroupHistory struct {
 	// FormedHere says that this holder formed the group. Nobody else opens it.
 	FormedHere bool
-	// Told says that this holder told the head to open, and OpenUntil is until
+	// OpenOrdered says that this holder told the head to open, and OpenUntil is until
 	// when such an order may take effect.
-	Told      bool
-	OpenUntil time.Time
+	OpenOrdered bool
+	OpenUntil   time.Time
 	// HeadLeft says that the head's last word is that it isn't in the group.
 	HeadLeft bool
 	// Parted says that this holder took a member away or told one to leave.
@@ -70,7 +70,7 @@
 		return ProofNoGroup
 	case s.Member.Group == "":
 		return Unproven
-	case s.Standby, s.History.FormedHere && !s.History.Told:
+	case s.Standby, s.History.FormedHere && !s.History.OpenOrdered:
 		return ProofNeverOpen
 	case s.History.HeadLeft:
 		return ProofHeadLeft
--- a/formation/proof_test.go
+++ b/formation/proof_test.go
@@ -20,7 +20,7 @@
 	head := func(state fleet.GroupState) fleet.Membership {
 		return fleet.Membership{Group: "g", Epoch: 7, State: state}
 	}
-	told := formation.GroupHistory{FormedHere: true, Told: true, OpenUntil: now.Add(-5 * time.Second)}
+	told := formation.GroupHistory{FormedHere: true, OpenOrdered: true, OpenUntil: now.Add(-5 * time.Second)}
 	for name, c := range map[string]struct {
 		standing formation.Standing
 		proof    formation.Proof
@@ -41,7 +41,7 @@
 		"head ready before it was opened":    {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: before, History: told}, formation.Unproven},
 		"head ready under another epoch":     {formation.Standing{Member: in, Head: fleet.Membership{Group: "g", Epoch: 6, State: fleet.Ready}, HeadSince: after, History: told}, formation.Unproven},
 		"head unknown, told to open":         {formation.Standing{Member: in, History: told}, formation.Unproven},
-		"an order to open may be on its way": {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: after, History: formation.GroupHistory{FormedHere: true, Told: true, OpenUntil: now}}, formation.Unproven},
+		"an order to open may be on its way": {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: after, History: formation.GroupHistory{FormedHere: true, OpenOrdered: true, OpenUntil: now}}, formation.Unproven},
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, c.proof, c.standing.Proof(now))
