--- a/formation/past.go
+++ b/formation/past.go
@@ -51,10 +51,10 @@
 	case fleet.OrderJoin:
 		g.FormedHere = true
 		if from.Group != "" && from.Group != order.Group {
-			m.groupOf(now, from.Group).Parted = true
+			m.groupOf(now, from.Group).MembersRemoved = true
 		}
 	case fleet.OrderLeave:
-		g.Parted = true
+		g.MembersRemoved = true
 	case fleet.OrderOpen:
 		g.OpenOrdered, g.OpenUntil = true, later(g.OpenUntil, now.Add(lateOrders))
 	case fleet.OrderClose, fleet.OrderStage:
--- a/formation/proof.go
+++ b/formation/proof.go
@@ -43,8 +43,8 @@
 	OpenUntil   time.Time
 	// HeadLeft says that the head's last word is that it isn't in the group.
 	HeadLeft bool
-	// Parted says that this holder took a member away or told one to leave.
-	Parted bool
+	// MembersRemoved says that this holder took a member away or told one to leave.
+	MembersRemoved bool
 }
 
 // Standing is how a VM stands to the group that it was last known to be in.
--- a/formation/reconcile.go
+++ b/formation/reconcile.go
@@ -20,7 +20,7 @@
 		p.closing(g)
 	case g.head().Member.State == fleet.Broken || !g.whole() || g.head().Unlisted:
 		p.release(g)
-	case p.zone.History(g.name).Parted:
+	case p.zone.History(g.name).MembersRemoved:
 		// An order that takes a member away may still be carried out: a group
 		// that opened again would lose it while it serves.
 		p.release(g)
