--- a/formation/group.go
+++ b/formation/group.go
@@ -25,8 +25,8 @@
 }
 
 // standing returns how the group's members stand to it.
-func (g *group) standing(z *Zone) Standing {
-	s := Standing{Standby: g.standby, History: z.History(g.name)}
+func (g *group) standing(z *Zone) Evidence {
+	s := Evidence{Standby: g.standby, History: z.History(g.name)}
 	if head := g.head(); head != nil {
 		s.Head, s.HeadSince = head.Endpoint.Member, head.ShownAt
 	}
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -97,7 +97,7 @@
 	}
 	for _, w := range z.Workers {
 		if w.Member.Group == "" && w.usable() {
-			p.setFree(w, Standing{})
+			p.setFree(w, Evidence{})
 		}
 	}
 	p.gather()
@@ -144,7 +144,7 @@
 
 // setFree lets a worker join another group if that is proven to be safe, and
 // reports whether it is. Nothing else makes workers free.
-func (p *planner) setFree(w *Worker, s Standing) bool {
+func (p *planner) setFree(w *Worker, s Evidence) bool {
 	s.Member, s.RejoinUntil = w.Member, w.RejoinUntil
 	w.proof = s.Proof(p.now)
 	if w.proof == Unproven {
--- a/formation/proof.go
+++ b/formation/proof.go
@@ -47,8 +47,8 @@
 	MembersRemoved bool
 }
 
-// Standing is how a VM stands to the group that it was last known to be in.
-type Standing struct {
+// Evidence is how a VM stands to the group that it was last known to be in.
+type Evidence struct {
 	// Member is the VM's membership by its own last word.
 	Member fleet.Membership
 	// RejoinUntil is until when an order without an answer may put the VM back
@@ -64,7 +64,7 @@
 }
 
 // Proof returns why the VM may join another group at a time, or Unproven.
-func (s Standing) Proof(now time.Time) Proof {
+func (s Evidence) Proof(now time.Time) Proof {
 	switch {
 	case s.Member.Group == "" && !now.Before(s.RejoinUntil):
 		return ProofNoGroup
@@ -83,7 +83,7 @@
 // headIdle reports whether the head's word that it doesn't serve is to be
 // trusted. Of a group that an earlier holder formed an order to open may still
 // be on its way; and a word from before an order of its own tells nothing.
-func (s Standing) headIdle() bool {
+func (s Evidence) headIdle() bool {
 	if s.Head.Group != s.Member.Group || s.Head.Epoch != s.Member.Epoch || serves(s.Head.State) {
 		return false
 	}
--- a/formation/proof_test.go
+++ b/formation/proof_test.go
@@ -22,26 +22,26 @@
 	}
 	told := formation.GroupHistory{FormedHere: true, OpenOrdered: true, OpenUntil: now.Add(-5 * time.Second)}
 	for name, c := range map[string]struct {
-		standing formation.Standing
+		standing formation.Evidence
 		proof    formation.Proof
 	}{
-		"belongs to no group":                {formation.Standing{}, formation.ProofNoGroup},
-		"may be put back into one":           {formation.Standing{RejoinUntil: now.Add(time.Second)}, formation.Unproven},
-		"could have been put back":           {formation.Standing{RejoinUntil: now}, formation.ProofNoGroup},
-		"standby":                            {formation.Standing{Member: in, Standby: true}, formation.ProofNeverOpen},
-		"own, never told to open":            {formation.Standing{Member: in, History: formation.GroupHistory{FormedHere: true}}, formation.ProofNeverOpen},
-		"nothing known":                      {formation.Standing{Member: in}, formation.Unproven},
-		"of another holder, head ready":      {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: after}, formation.Unproven},
-		"of another holder, head broken":     {formation.Standing{Member: in, Head: head(fleet.Broken), HeadSince: after}, formation.Unproven},
-		"of another holder, head left":       {formation.Standing{Member: in, History: formation.GroupHistory{HeadLeft: true}}, formation.ProofHeadLeft},
-		"head open":                          {formation.Standing{Member: in, Head: head(fleet.Open), HeadSince: after, History: told}, formation.Unproven},
-		"head closing":                       {formation.Standing{Member: in, Head: head(fleet.Closing), HeadSince: after, History: told}, formation.Unproven},
-		"head ready since it was opened":     {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: after, History: told}, formation.ProofHeadIdle},
-		"head broken since it was opened":    {formation.Standing{Member: in, Head: head(fleet.Broken), HeadSince: after, History: told}, formation.ProofHeadIdle},
-		"head ready before it was opened":    {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: before, History: told}, formation.Unproven},
-		"head ready under another epoch":     {formation.Standing{Member: in, Head: fleet.Membership{Group: "g", Epoch: 6, State: fleet.Ready}, HeadSince: after, History: told}, formation.Unproven},
-		"head unknown, told to open":         {formation.Standing{Member: in, History: told}, formation.Unproven},
-		"an order to open may be on its way": {formation.Standing{Member: in, Head: head(fleet.Ready), HeadSince: after, History: formation.GroupHistory{FormedHere: true, OpenOrdered: true, OpenUntil: now}}, formation.Unproven},
+		"belongs to no group":                {formation.Evidence{}, formation.ProofNoGroup},
+		"may be put back into one":           {formation.Evidence{RejoinUntil: now.Add(time.Second)}, formation.Unproven},
+		"could have been put back":           {formation.Evidence{RejoinUntil: now}, formation.ProofNoGroup},
+		"standby":                            {formation.Evidence{Member: in, Standby: true}, formation.ProofNeverOpen},
+		"own, never told to open":            {formation.Evidence{Member: in, History: formation.GroupHistory{FormedHere: true}}, formation.ProofNeverOpen},
+		"nothing known":                      {formation.Evidence{Member: in}, formation.Unproven},
+		"of another holder, head ready":      {formation.Evidence{Member: in, Head: head(fleet.Ready), HeadSince: after}, formation.Unproven},
+		"of another holder, head broken":     {formation.Evidence{Member: in, Head: head(fleet.Broken), HeadSince: after}, formation.Unproven},
+		"of another holder, head left":       {formation.Evidence{Member: in, History: formation.GroupHistory{HeadLeft: true}}, formation.ProofHeadLeft},
+		"head open":                          {formation.Evidence{Member: in, Head: head(fleet.Open), HeadSince: after, History: told}, formation.Unproven},
+		"head closing":                       {formation.Evidence{Member: in, Head: head(fleet.Closing), HeadSince: after, History: told}, formation.Unproven},
+		"head ready since it was opened":     {formation.Evidence{Member: in, Head: head(fleet.Ready), HeadSince: after, History: told}, formation.ProofHeadIdle},
+		"head broken since it was opened":    {formation.Evidence{Member: in, Head: head(fleet.Broken), HeadSince: after, History: told}, formation.ProofHeadIdle},
+		"head ready before it was opened":    {formation.Evidence{Member: in, Head: head(fleet.Ready), HeadSince: before, History: told}, formation.Unproven},
+		"head ready under another epoch":     {formation.Evidence{Member: in, Head: fleet.Membership{Group: "g", Epoch: 6, State: fleet.Ready}, HeadSince: after, History: told}, formation.Unproven},
+		"head unknown, told to open":         {formation.Evidence{Member: in, History: told}, formation.Unproven},
+		"an order to open may be on its way": {formation.Evidence{Member: in, Head: head(fleet.Ready), HeadSince: after, History: formation.GroupHistory{FormedHere: true, OpenOrdered: true, OpenUntil: now}}, formation.Unproven},
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, c.proof, c.standing.Proof(now))
--- a/formation/reconcile.go
+++ b/formation/reconcile.go
@@ -150,7 +150,7 @@
 	p.give(g.head(), fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "may_open_late")
 }
 
-func (p *planner) releaseMembers(g *group, standing Standing) {
+func (p *planner) releaseMembers(g *group, standing Evidence) {
 	for _, w := range g.byRank {
 		if !w.usable() {
 			continue
@@ -166,7 +166,7 @@
 }
 
 // ended reports whether a group is proven to serve no longer.
-func (p *planner) ended(g *group, standing Standing) bool {
+func (p *planner) ended(g *group, standing Evidence) bool {
 	standing.Member = fleet.Membership{Group: g.name, Epoch: g.epoch}
 	return standing.Proof(p.now) != Unproven
 }
