--- a/formation/notes.go
+++ b/formation/notes.go
@@ -22,7 +22,7 @@
 	w := &n.worker
 	w.Endpoint = e
 	w.Unlisted, w.Silent = false, false
-	w.Suspect = now.Before(n.suspect) || now.Before(w.Mute)
+	w.Suspect = now.Before(n.suspect) || now.Before(w.StaleEntryUntil)
 	w.Slow = now.Before(n.slow)
 	if e.State == fleet.EndpointReady {
 		w.DrainingSince = time.Time{}
--- a/formation/reconcile.go
+++ b/formation/reconcile.go
@@ -114,7 +114,7 @@
 		return false // where most are late, the store is slow
 	}
 	for _, w := range late {
-		w.Mute = p.now.Add(suspectFor)
+		w.StaleEntryUntil = p.now.Add(suspectFor)
 		w.Suspect = true
 	}
 	return true
--- a/formation/worker.go
+++ b/formation/worker.go
@@ -38,8 +38,8 @@
 
 	// Staging is the model that it was last told to take into its host's memory.
 	Staging string
-	// Mute is until when its entry is known not to show what it does.
-	Mute time.Time
+	// StaleEntryUntil is until when its entry is known not to show what it does.
+	StaleEntryUntil time.Time
 
 	loading string // the model that it takes in as a standby
 	proof   Proof  // why it may join another group
