--- a/formation/group.go
+++ b/formation/group.go
@@ -28,7 +28,7 @@
 func (g *group) standing(z *Zone) Evidence {
 	s := Evidence{Standby: g.standby, History: z.History(g.name)}
 	if head := g.head(); head != nil {
-		s.Head, s.HeadSince = head.Endpoint.Member, head.ShownAt
+		s.Head, s.HeadSince = head.Endpoint.Member, head.ReportedAt
 	}
 	return s
 }
--- a/formation/notes.go
+++ b/formation/notes.go
@@ -43,7 +43,7 @@
 		if e.Member.Group == "" {
 			n.holdFor(n.shown.Group)
 		}
-		n.shown, w.ShownAt = e.Member, now
+		n.shown, w.ReportedAt = e.Member, now
 		if e.Member.Epoch >= n.overlay.Epoch {
 			n.overlaid = time.Time{}
 		}
--- a/formation/worker.go
+++ b/formation/worker.go
@@ -26,8 +26,8 @@
 	FreeSince time.Time
 	// ChangedAt is when its membership last changed, and ShownAt when its own
 	// word of it last did.
-	ChangedAt time.Time
-	ShownAt   time.Time
+	ChangedAt  time.Time
+	ReportedAt time.Time
 	// Slow says that it works slower than it should.
 	Slow bool
 	// Unlisted says that its entry is missing but it answers: it can be a
