--- a/formation/convert.go
+++ b/formation/convert.go
@@ -23,7 +23,7 @@
 // shifted, groups of one model are half empty while callers of another one are
 // refused.
 func (p *planner) convert() {
-	if p.zone.Fresh || len(p.closings) > 0 {
+	if p.zone.Startup || len(p.closings) > 0 {
 		return
 	}
 	for _, g := range p.idle { // it was closed for this, and isn't counted
--- a/formation/form.go
+++ b/formation/form.go
@@ -22,7 +22,7 @@
 // once. For another one, the members that lack the model load it as standbys;
 // the rest stay free meanwhile, so that a member that comes back is of use.
 func (p *planner) form() {
-	if p.zone.Fresh {
+	if p.zone.Startup {
 		p.formFirst()
 	}
 	for {
@@ -33,7 +33,7 @@
 		p.serving[best.model.Name] += best.model.Size
 		p.free[best.domain] = without(p.free[best.domain], best.members)
 		switch {
-		case p.zone.Fresh || best.atHand():
+		case p.zone.Startup || best.atHand():
 			p.join(best)
 		default:
 			p.load(best)
@@ -102,7 +102,7 @@
 	}
 	held := float64(p.serving[model.Name])
 	gain := p.shares[model.Name] * (math.Log(held+float64(model.Size)) - math.Log(max(held, 0.5))) / float64(model.Size)
-	if !p.zone.Fresh {
+	if !p.zone.Startup {
 		gain /= 1 + next.time.Seconds()/switchTime.Seconds()
 	}
 	next.worth = gain
--- a/formation/gather.go
+++ b/formation/gather.go
@@ -21,7 +21,7 @@
 // they need. A group of a small model that is taken apart costs its own places;
 // the large group is there again without a load.
 func (p *planner) gather() {
-	if p.zone.Fresh {
+	if p.zone.Startup {
 		return
 	}
 	for _, model := range p.largestFirst() {
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -184,7 +184,7 @@
 // something is under way.
 func (m *Manager) planZone(ctx context.Context, now time.Time, zone string, service fleet.Service, endpoints []*fleet.Endpoint) bool {
 	engine := service.Engine
-	z := &Zone{History: m.past, Moves: func(id string) bool { return m.Moves(now, id) }, Engine: engine, Fresh: m.Settings().FirstStart && !m.Begun(), NextEpoch: m.nextEpoch}
+	z := &Zone{History: m.past, Moves: func(id string) bool { return m.Moves(now, id) }, Engine: engine, Startup: m.Settings().FirstStart && !m.Begun(), NextEpoch: m.nextEpoch}
 	pending := false
 	for _, e := range endpoints {
 		if e.Zone != zone {
@@ -195,7 +195,7 @@
 		m.epoch = max(m.epoch, w.Member.Epoch, e.Member.Epoch)
 		pending = pending || w.awaited()
 	}
-	if z.Fresh && !m.settled(now, zone, len(z.Workers)) {
+	if z.Startup && !m.settled(now, zone, len(z.Workers)) {
 		return true
 	}
 	m.addUnlisted(ctx, now, z, zone, service.Name, service.HealthPath)
@@ -205,7 +205,7 @@
 	z.Demand = m.followDemand(now, z, zone)
 	steps := z.Plan(now)
 	for _, s := range steps {
-		if s.Loads && !z.Fresh {
+		if s.Loads && !z.Startup {
 			budget.spend()
 		}
 		m.send(ctx, now, s)
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -69,8 +69,8 @@
 	Moves func(endpointID string) bool
 	// History returns what this holder knows of a group beside its members' words.
 	History func(group string) GroupHistory
-	// Fresh says that no request has come yet: loads are quick and free.
-	Fresh bool
+	// Startup says that no request has come yet: loads are quick and free.
+	Startup bool
 	// Demand is how many requests each model's groups have, smoothed; nil where
 	// that isn't known.
 	Demand map[string]float64
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -22,7 +22,7 @@
 //
 // Gain: a VM that stands by for a loss serves nobody meanwhile; these do.
 func (p *planner) stage() {
-	if p.zone.Fresh {
+	if p.zone.Startup {
 		if p.forming() {
 			return // first the groups: loads slow each other down
 		}
@@ -118,7 +118,7 @@
 	if w.Endpoint.HasStaged(model.Name) || p.staging(w, model) || p.loading >= p.zone.StageAtOnce {
 		return
 	}
-	if !p.zone.Fresh {
+	if !p.zone.Startup {
 		if p.zone.Loads <= 0 {
 			return
 		}
--- a/formation/standby.go
+++ b/formation/standby.go
@@ -62,7 +62,7 @@
 		}
 	}
 	count[best.Name]++
-	if best.Name != "" && w.LastModel != best.Name && (p.zone.Fresh || p.freeFor(w, loadSettle)) {
+	if best.Name != "" && w.LastModel != best.Name && (p.zone.Startup || p.freeFor(w, loadSettle)) {
 		p.loadStandby(w, best, "standby")
 	}
 }
@@ -74,7 +74,7 @@
 		return // one load after the other
 	}
 	loads := w.cold(model)
-	if loads && !p.zone.Fresh {
+	if loads && !p.zone.Startup {
 		if p.zone.Loads <= 0 {
 			return
 		}
