--- a/formation/bench_test.go
+++ b/formation/bench_test.go
@@ -13,7 +13,7 @@
 // many groups of six and of three as fit.
 func BenchmarkPlan(b *testing.B) {
 	z := &formation.Zone{
-		Engine: farmEngine(), Moves: func(string) bool { return false }, NextEpoch: func() int64 { return 100 },
+		Engine: farmEngine(), Progressing: func(string) bool { return false }, NextEpoch: func() int64 { return 100 },
 		History: func(string) formation.GroupHistory { return formation.GroupHistory{FormedHere: true} },
 	}
 	for d := range 90 {
--- a/formation/convert_test.go
+++ b/formation/convert_test.go
@@ -77,7 +77,7 @@
 // members of its large group. Two small groups of each have taken the large model in.
 func pairsZone() *formation.Zone {
 	z := &formation.Zone{
-		Engine: pairsEngine(), Moves: func(string) bool { return false }, NextEpoch: func() int64 { return 100 },
+		Engine: pairsEngine(), Progressing: func(string) bool { return false }, NextEpoch: func() int64 { return 100 },
 		History: func(string) formation.GroupHistory { return formation.GroupHistory{FormedHere: true} },
 	}
 	group := func(domain, model string, epoch int64, size int, staged string) {
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -184,7 +184,7 @@
 // something is under way.
 func (m *Manager) planZone(ctx context.Context, now time.Time, zone string, service fleet.Service, endpoints []*fleet.Endpoint) bool {
 	engine := service.Engine
-	z := &Zone{History: m.past, Moves: func(id string) bool { return m.Moves(now, id) }, Engine: engine, Startup: m.Settings().FirstStart && !m.Begun(), NextEpoch: m.nextEpoch}
+	z := &Zone{History: m.past, Progressing: func(id string) bool { return m.Moves(now, id) }, Engine: engine, Startup: m.Settings().FirstStart && !m.Begun(), NextEpoch: m.nextEpoch}
 	pending := false
 	for _, e := range endpoints {
 		if e.Zone != zone {
--- a/formation/muted_test.go
+++ b/formation/muted_test.go
@@ -49,7 +49,7 @@
 			now := time.Unix(1000, 0)
 			zone := &formation.Zone{
 				Engine: farmEngine(), Workers: joiningGroup(now, c.shown),
-				Moves: func(string) bool { return false }, History: func(string) formation.GroupHistory { return formation.GroupHistory{FormedHere: true} },
+				Progressing: func(string) bool { return false }, History: func(string) formation.GroupHistory { return formation.GroupHistory{FormedHere: true} },
 				NextEpoch: func() int64 { return 10 },
 			}
 			var members []string
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -65,8 +65,8 @@
 type Zone struct {
 	Engine  *fleet.Engine
 	Workers []*Worker
-	// Moves reports whether a head's streams advance.
-	Moves func(endpointID string) bool
+	// Progressing reports whether a head's streams advance.
+	Progressing func(endpointID string) bool
 	// History returns what this holder knows of a group beside its members' words.
 	History func(group string) GroupHistory
 	// Startup says that no request has come yet: loads are quick and free.
--- a/formation/reconcile.go
+++ b/formation/reconcile.go
@@ -50,7 +50,7 @@
 		if g.slow() {
 			p.draining = append(p.draining, g)
 		}
-	case g.onlySilent() && p.zone.Moves(g.head().Endpoint.ID):
+	case g.onlySilent() && p.zone.Progressing(g.head().Endpoint.ID):
 		// Members that are cut off from here and from the store may still serve
 		// with the others: what the streams show goes first.
 		p.count(g)
