--- a/formation/demand.go
+++ b/formation/demand.go
@@ -46,7 +46,7 @@
 
 // followDemand returns the smoothed demand of a zone, nil while it isn't known.
 func (m *Manager) followDemand(now time.Time, z *Zone, zone string) map[string]float64 {
-	if !m.Begun() {
+	if !m.TrafficStarted() {
 		return nil
 	}
 	requests := map[string]float64{}
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -51,8 +51,8 @@
 	Settled func(era int64) bool
 	// Position returns the newest position of the store that this node knows.
 	Position func() fleet.Position
-	// Begun reports whether requests have come yet.
-	Begun func() bool
+	// TrafficStarted reports whether requests have come yet.
+	TrafficStarted func() bool
 	// Progressing reports whether this node saw a stream of an endpoint advance lately.
 	Progressing func(now time.Time, endpointID string) bool
 	// Running returns how many requests a head has, as far as this node knows.
@@ -184,7 +184,7 @@
 // something is under way.
 func (m *Manager) planZone(ctx context.Context, now time.Time, zone string, service fleet.Service, endpoints []*fleet.Endpoint) bool {
 	engine := service.Engine
-	z := &Zone{History: m.past, Progressing: func(id string) bool { return m.Progressing(now, id) }, Engine: engine, Startup: m.Settings().FirstStart && !m.Begun(), NextEpoch: m.nextEpoch}
+	z := &Zone{History: m.past, Progressing: func(id string) bool { return m.Progressing(now, id) }, Engine: engine, Startup: m.Settings().FirstStart && !m.TrafficStarted(), NextEpoch: m.nextEpoch}
 	pending := false
 	for _, e := range endpoints {
 		if e.Zone != zone {
--- a/node/node.go
+++ b/node/node.go
@@ -85,12 +85,12 @@
 	}, n.source)
 	n.manager = formation.NewManager(formation.Options{
 		Settings: n.inForce, Book: n.book, Orderer: platform.NewEngines(), Position: n.table.Position,
-		Holds:       func(zone string) bool { return n.table.Holds(zone, kernel.BootTime()) },
-		HeldFrom:    n.table.HeldFrom,
-		Settled:     n.table.Settled,
-		Begun:       func() bool { return n.gateway.Served() > 0 },
-		Progressing: n.tracker.Moves,
-		Running:     n.tracker.Running,
+		Holds:          func(zone string) bool { return n.table.Holds(zone, kernel.BootTime()) },
+		HeldFrom:       n.table.HeldFrom,
+		Settled:        n.table.Settled,
+		TrafficStarted: func() bool { return n.gateway.Served() > 0 },
+		Progressing:    n.tracker.Moves,
+		Running:        n.tracker.Running,
 	})
 	n.gateway = gateway.New(gateway.Options{
 		Settings: n.inForce, Book: n.book, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
