--- a/formation/manager.go
+++ b/formation/manager.go
@@ -42,10 +42,10 @@
 	Settings func() fleet.Settings
 	Book     *directory.Book
 	Orderer  fleet.Orderer
-	// Holds reports whether this node may form the groups of a zone now, and
+	// HoldsLease reports whether this node may form the groups of a zone now, and
 	// HeldFrom at which position of the store it took the zone's lease.
-	Holds    func(zone string) bool
-	HeldFrom func(zone string) fleet.Position
+	HoldsLease func(zone string) bool
+	HeldFrom   func(zone string) fleet.Position
 	// Settled reports whether what the store lost before an era of it has been written
 	// again.
 	Settled func(era int64) bool
@@ -136,7 +136,7 @@
 	m.forget(now)
 	pending := false
 	for _, zone := range m.Settings().Zones {
-		if !m.Holds(zone) {
+		if !m.HoldsLease(zone) {
 			delete(m.loads, zone)
 			delete(m.demands, zone)
 			continue
--- a/formation/probes.go
+++ b/formation/probes.go
@@ -14,7 +14,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	head, ok := m.notes[headID]
-	if !ok || head.worker.Endpoint == nil || m.group == nil || !m.Holds(head.worker.Endpoint.Zone) {
+	if !ok || head.worker.Endpoint == nil || m.group == nil || !m.HoldsLease(head.worker.Endpoint.Zone) {
 		return
 	}
 	now := time.Now()
