--- a/formation/convert_test.go
+++ b/formation/convert_test.go
@@ -158,7 +158,7 @@
 		for _, w := range f.whole("large") {
 			f.kill(w.members[1], true)
 			time.Sleep(700 * time.Millisecond)
-			n.manager.Stalled(context.Background(), w.ID)
+			n.manager.ReportStall(context.Background(), w.ID)
 		}
 		for range 300 {
 			askEvenly(f, n, map[string]int{"small": 280})
--- a/formation/era_test.go
+++ b/formation/era_test.go
@@ -15,7 +15,7 @@
 		const versions = 1000
 		n.version = versions
 		f.kill(f.whole("small")[0].members[1], true)
-		n.manager.Stalled(t.Context(), f.whole("small")[0].ID)
+		n.manager.ReportStall(t.Context(), f.whole("small")[0].ID)
 		time.Sleep(20 * time.Second)
 		before := int64(0)
 		for _, w := range f.workers {
@@ -27,7 +27,7 @@
 		next.begun, next.era, next.version = true, 1, 3
 		member, head := memberOf(f, "small", 1)
 		f.kill(member, true)
-		next.manager.Stalled(t.Context(), head)
+		next.manager.ReportStall(t.Context(), head)
 		time.Sleep(30 * time.Second)
 		formed := 0
 		for _, w := range f.workers {
--- a/formation/gather_test.go
+++ b/formation/gather_test.go
@@ -50,7 +50,7 @@
 	f.kill(w.members[2], true)
 	f.kill(w.members[5], true)
 	time.Sleep(700 * time.Millisecond)
-	n.manager.Stalled(context.Background(), w.ID)
+	n.manager.ReportStall(context.Background(), w.ID)
 }
 
 // A large group that loses members in a full domain is whole again without a
@@ -97,7 +97,7 @@
 		w := f.whole("small")[0]
 		f.kill(w.members[1], true)
 		time.Sleep(700 * time.Millisecond)
-		n.manager.Stalled(context.Background(), w.ID)
+		n.manager.ReportStall(context.Background(), w.ID)
 		time.Sleep(6 * time.Second)
 		require.Len(t, f.whole("large"), 3)
 		require.Len(t, f.whole("small"), 14)
--- a/formation/joining_test.go
+++ b/formation/joining_test.go
@@ -267,7 +267,7 @@
 		j.strikeHolder(e, until)
 	}
 	if head != "" {
-		j.holder.manager.Stalled(context.Background(), head)
+		j.holder.manager.ReportStall(context.Background(), head)
 	}
 }
 
--- a/formation/leaving_head_test.go
+++ b/formation/leaving_head_test.go
@@ -31,7 +31,7 @@
 						time.Sleep(300 * time.Millisecond)
 					}
 					f.deafen(w.ID)
-					holder.manager.Stalled(context.Background(), w.ID)
+					holder.manager.ReportStall(context.Background(), w.ID)
 					time.Sleep(5 * time.Second)
 					f.mu.Lock()
 					defer f.mu.Unlock()
@@ -70,10 +70,10 @@
 	f.lose = 1
 	f.mu.Unlock()
 	f.silence(group[2], time.Second)
-	n.manager.Stalled(context.Background(), group[0])
+	n.manager.ReportStall(context.Background(), group[0])
 	time.Sleep(600 * time.Millisecond)
 	f.silence(spare, 6*time.Second)
-	n.manager.Stalled(context.Background(), group[0])
+	n.manager.ReportStall(context.Background(), group[0])
 	time.Sleep(3 * time.Second)
 	f.mu.Lock()
 	f.lose, f.closed = 0, false
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -153,7 +153,7 @@
 				loads := f.loads
 				f.kill(member, true)
 				time.Sleep(700 * time.Millisecond)
-				n.manager.Stalled(context.Background(), head)
+				n.manager.ReportStall(context.Background(), head)
 				time.Sleep(2500 * time.Millisecond)
 				require.Len(t, f.whole("large"), 2)
 				require.Len(t, f.whole("small"), 2)
@@ -174,7 +174,7 @@
 		f.mu.Unlock()
 		f.kill(member, true)
 		time.Sleep(700 * time.Millisecond)
-		n.manager.Stalled(context.Background(), head)
+		n.manager.ReportStall(context.Background(), head)
 		time.Sleep(8 * time.Second)
 		require.Len(t, f.whole("large"), 2)
 	})
@@ -267,7 +267,7 @@
 		f.mu.Lock()
 		f.workers[member].slow = 4
 		f.mu.Unlock()
-		n.manager.Stalled(context.Background(), head)
+		n.manager.ReportStall(context.Background(), head)
 		time.Sleep(4 * time.Second)
 		require.Len(t, f.whole("large"), 2)
 		for _, w := range f.whole("large") {
@@ -314,7 +314,7 @@
 	play(t, func(t *testing.T, f *farm, n *node) {
 		w := f.whole("large")[0]
 		f.kill(w.ID, false)
-		n.manager.Stalled(context.Background(), w.ID)
+		n.manager.ReportStall(context.Background(), w.ID)
 		asked := f.reports
 		time.Sleep(2500 * time.Millisecond)
 		require.Len(t, f.whole("large"), 2)
@@ -332,7 +332,7 @@
 		member, head := memberOf(f, "large", 1)
 		f.kill(member, true)
 		time.Sleep(700 * time.Millisecond)
-		n.manager.Stalled(context.Background(), head)
+		n.manager.ReportStall(context.Background(), head)
 		time.Sleep(20 * time.Second)
 		f.mu.Lock()
 		f.lose = 0
@@ -353,7 +353,7 @@
 		for range 800 {
 			time.Sleep(50 * time.Millisecond)
 			for _, head := range f.slowOpening() {
-				n.manager.Stalled(context.Background(), head)
+				n.manager.ReportStall(context.Background(), head)
 			}
 		}
 		require.Empty(t, f.broken)
@@ -384,7 +384,7 @@
 		f.closed = true
 		f.mu.Unlock()
 		f.kill(member, false)
-		n.manager.Stalled(context.Background(), head)
+		n.manager.ReportStall(context.Background(), head)
 		time.Sleep(4 * time.Second)
 		f.mu.Lock()
 		var last string
@@ -413,7 +413,7 @@
 			for i, id := range w.members[1:] {
 				f.replace(id, fmt.Sprintf("new-%d-%d", round, i))
 			}
-			n.manager.Stalled(context.Background(), w.ID)
+			n.manager.ReportStall(context.Background(), w.ID)
 			time.Sleep(5 * time.Second)
 			f.mu.Lock()
 			f.lose = 0.6
@@ -465,7 +465,7 @@
 				f.lose = 0.6
 				f.mu.Unlock()
 				f.kill(member, false)
-				holder.manager.Stalled(context.Background(), head)
+				holder.manager.ReportStall(context.Background(), head)
 				time.Sleep(time.Duration(500+f.random.IntN(1500)) * time.Millisecond)
 				holder.holds = false
 				holder = manage(f, false)
@@ -537,6 +537,6 @@
 		f.book.Apply(time.Now(), directory.Change{Gone: id})
 	}
 	if head != "" {
-		n.manager.Stalled(context.Background(), head)
+		n.manager.ReportStall(context.Background(), head)
 	}
 }
--- a/formation/probes.go
+++ b/formation/probes.go
@@ -7,10 +7,10 @@
 	"k8s.io/klog/v2"
 )
 
-// Stalled tells the manager that little or nothing moves in the group of an
+// ReportStall tells the manager that little or nothing moves in the group of an
 // endpoint. It asks all VMs of the domain, so that it knows which members are
 // lost or slow, and which others could replace them.
-func (m *Manager) Stalled(ctx context.Context, headID string) {
+func (m *Manager) ReportStall(ctx context.Context, headID string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	head, ok := m.notes[headID]
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -60,7 +60,7 @@
 	return &http.Server{
 		Addr: n.internalAddress(), ReadHeaderTimeout: smallHeaderTimeout,
 		Handler: neighbor.NewHandler(neighbor.Parts{
-			Mirror: n.source.Mirror, Board: n.board, Suspect: n.manager.Stalled,
+			Mirror: n.source.Mirror, Board: n.board, Suspect: n.manager.ReportStall,
 			Commit: n.source.CommitDirect, Reserve: n.reserve, Told: n.told,
 			Limits: n.tracker, Permit: n.lend,
 		}),
@@ -94,7 +94,7 @@
 	}
 	holder, known := n.table.Holder(e.Zone)
 	if !known || holder.Name == n.settings.Node {
-		n.manager.Stalled(context.Background(), endpointID)
+		n.manager.ReportStall(context.Background(), endpointID)
 		return
 	}
 	n.group.Go("suspect", func(ctx context.Context) error {
