--- a/formation/manager.go
+++ b/formation/manager.go
@@ -44,8 +44,8 @@
 	Orderer  fleet.Orderer
 	// HoldsLease reports whether this node may form the groups of a zone now, and
 	// HeldFrom at which position of the store it took the zone's lease.
-	HoldsLease func(zone string) bool
-	HeldFrom   func(zone string) fleet.Position
+	HoldsLease    func(zone string) bool
+	LeasePosition func(zone string) fleet.Position
 	// Settled reports whether what the store lost before an era of it has been written
 	// again.
 	Settled func(era int64) bool
@@ -177,7 +177,7 @@
 // store that has just come back older.
 func (m *Manager) caughtUp(zone string) bool {
 	read := m.Book.Read()
-	return !read.Before(m.HeldFrom(zone)) && m.Settled(read.Era)
+	return !read.Before(m.LeasePosition(zone)) && m.Settled(read.Era)
 }
 
 // planZone plans one zone's groups and sends the orders. It reports whether
--- a/node/node.go
+++ b/node/node.go
@@ -86,7 +86,7 @@
 	n.manager = formation.NewManager(formation.Options{
 		Settings: n.inForce, Book: n.book, Orderer: platform.NewEngines(), Position: n.table.Position,
 		HoldsLease:     func(zone string) bool { return n.table.Holds(zone, kernel.BootTime()) },
-		HeldFrom:       n.table.HeldFrom,
+		LeasePosition:  n.table.HeldFrom,
 		Settled:        n.table.Settled,
 		TrafficStarted: func() bool { return n.gateway.Served() > 0 },
 		Progressing:    n.tracker.Moves,
