--- a/formation/demand.go
+++ b/formation/demand.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// demandTime is over how long the demand for models is smoothed: longer than
+	// demandWindow is over how long the demand for models is smoothed: longer than
 	// answers take, shorter than a load.
-	demandTime = 5 * time.Second
-	// leastShare is the part of its configured share that a model keeps whatever
+	demandWindow = 5 * time.Second
+	// minShareFraction is the part of its configured share that a model keeps whatever
 	// is asked for. What isn't served isn't seen, so demand alone would let a
 	// model die out.
-	leastShare = 0.5
+	minShareFraction = 0.5
 )
 
 // demand follows how many requests the groups of each model of a zone have.
@@ -23,13 +23,13 @@
 	at       time.Time
 }
 
-// follow takes in what the groups have now. Until demandTime is over it is the mean of
+// update takes in what the groups have now. Until demandTime is over it is the mean of
 // what came since the first request.
 //
 // Guard: smoothed from the first reading, in which the requests are only beginning, the
 // demand would count as a part of itself when it is first used, and a group that is needed
 // would be given away.
-func (d *demand) follow(now time.Time, requests map[string]float64) {
+func (d *demand) update(now time.Time, requests map[string]float64) {
 	if d.requests == nil {
 		d.requests, d.since, d.at = requests, now, now
 		return
@@ -37,15 +37,15 @@
 	if !now.After(d.at) {
 		return
 	}
-	weight := now.Sub(d.at).Seconds() / min(demandTime, now.Sub(d.since)).Seconds()
+	weight := now.Sub(d.at).Seconds() / min(demandWindow, now.Sub(d.since)).Seconds()
 	d.at = now
 	for model := range requests {
 		d.requests[model] += min(1, weight) * (requests[model] - d.requests[model])
 	}
 }
 
-// followDemand returns the smoothed demand of a zone, nil while it isn't known.
-func (m *Manager) followDemand(now time.Time, z *Zone, zone string) map[string]float64 {
+// updateDemand returns the smoothed demand of a zone, nil while it isn't known.
+func (m *Manager) updateDemand(now time.Time, z *Zone, zone string) map[string]float64 {
 	if !m.TrafficStarted() {
 		return nil
 	}
@@ -63,8 +63,8 @@
 		d = &demand{}
 		m.demands[zone] = d
 	}
-	d.follow(now, requests)
-	if now.Sub(d.since) < demandTime {
+	d.update(now, requests)
+	if now.Sub(d.since) < demandWindow {
 		return nil // the first few requests say nothing of the day
 	}
 	return d.requests
@@ -76,20 +76,20 @@
 	shares, needed := map[string]float64{}, 0.0
 	for _, m := range z.Engine.Models {
 		shares[m.Name] = m.Share
-		needed += z.needed(m)
+		needed += z.vmsNeeded(m)
 	}
 	if needed < 1 {
 		return shares
 	}
 	for _, m := range z.Engine.Models {
 		if m.Share > 0 {
-			shares[m.Name] = max(z.needed(m)/needed, leastShare*m.Share)
+			shares[m.Name] = max(z.vmsNeeded(m)/needed, minShareFraction*m.Share)
 		}
 	}
 	return shares
 }
 
-// needed is how many VMs the requests for a model fill.
-func (z *Zone) needed(m fleet.Model) float64 {
+// vmsNeeded is how many VMs the requests for a model fill.
+func (z *Zone) vmsNeeded(m fleet.Model) float64 {
 	return z.Demand[m.Name] / float64(max(1, z.Engine.Slots)) * float64(m.Size)
 }
--- a/formation/form.go
+++ b/formation/form.go
@@ -33,7 +33,7 @@
 		p.serving[best.model.Name] += best.model.Size
 		p.free[best.domain] = without(p.free[best.domain], best.members)
 		switch {
-		case p.zone.Startup || best.atHand():
+		case p.zone.Startup || best.allHaveModel():
 			p.join(best)
 		default:
 			p.load(best)
@@ -60,10 +60,10 @@
 	}
 }
 
-// atHand reports whether all members have the model, and none is loading.
-func (n *proposal) atHand() bool {
+// allHaveModel reports whether all members have the model, and none is loading.
+func (n *proposal) allHaveModel() bool {
 	for _, w := range n.members {
-		if w.loading != "" || w.cold(n.model) {
+		if w.loading != "" || w.needsLoad(n.model) {
 			return false
 		}
 	}
@@ -137,7 +137,7 @@
 	}
 	for _, w := range next.members {
 		p.steps = append(p.steps, Step{
-			Endpoint: w.Endpoint, Order: order, Why: "form", Loads: w.cold(next.model), Proof: w.proof,
+			Endpoint: w.Endpoint, Order: order, Why: "form", Loads: w.needsLoad(next.model), Proof: w.proof,
 		})
 	}
 }
@@ -151,13 +151,13 @@
 func (p *planner) load(next *proposal) {
 	var cold []*Worker
 	for _, w := range next.members {
-		if w.cold(next.model) {
+		if w.needsLoad(next.model) {
 			cold = append(cold, w)
 		}
 	}
-	patience := loadSettle
+	patience := loadDelay
 	if 2*len(cold) > next.model.Size {
-		patience = convertPatience
+		patience = reloadDelay
 	}
 	for _, w := range cold {
 		if p.freeFor(w, patience) {
--- a/formation/gather.go
+++ b/formation/gather.go
@@ -27,7 +27,7 @@
 	for _, model := range p.largestFirst() {
 		for _, domain := range p.domains() {
 			p.replaceLeaving(domain, model)
-			p.makeWhole(domain, model)
+			p.rebuildGroup(domain, model)
 		}
 	}
 	for domain := range p.free {
@@ -35,36 +35,36 @@
 	}
 }
 
-// makeWhole gathers what the rest of a group of a model lacks, and joins the
+// rebuildGroup gathers what the rest of a group of a model lacks, and joins the
 // group once all members are there. A rest of less than half of it, and of a
 // group that would be given to another model, is left to other uses.
-func (p *planner) makeWhole(domain string, model fleet.Model) {
-	rest := p.atHand(domain, model)
-	if 2*len(rest) < model.Size || p.wouldSpare(model) {
+func (p *planner) rebuildGroup(domain string, model fleet.Model) {
+	rest := p.freeWithModel(domain, model)
+	if 2*len(rest) < model.Size || p.wouldConvert(model) {
 		return
 	}
-	missing := model.Size - len(rest) - p.ending(domain, model)
-	if missing > 0 && !p.take(domain, model, missing, 0) {
+	missing := model.Size - len(rest) - p.closingDonors(domain, model)
+	if missing > 0 && !p.dismantleDonors(domain, model, missing, 0) {
 		return
 	}
-	rest = p.atHand(domain, model) // groups that weren't open are free at once
+	rest = p.freeWithModel(domain, model) // groups that weren't open are free at once
 	if len(rest) >= model.Size {
-		p.joinGathered(domain, model, rest[:model.Size])
+		p.joinRebuilt(domain, model, rest[:model.Size])
 		return
 	}
 	p.hold(domain, rest)
 }
 
-// joinGathered joins a group some of whose members served another model, unless
+// joinRebuilt joins a group some of whose members served another model, unless
 // they are worth more there.
-func (p *planner) joinGathered(domain string, model fleet.Model, rest []*Worker) {
+func (p *planner) joinRebuilt(domain string, model fleet.Model, rest []*Worker) {
 	given := map[string]int{}
 	for _, w := range rest {
 		if w.LastModel != "" && w.LastModel != model.Name {
 			given[w.LastModel]++
 		}
 	}
-	if len(given) == 0 || !p.worthTaking(model, given, given) {
+	if len(given) == 0 || !p.worthDismantling(model, given, given) {
 		return
 	}
 	next := &proposal{domain: domain, model: model, members: listedFirst(rest)}
@@ -87,16 +87,16 @@
 	if leaving == 0 {
 		return
 	}
-	missing := leaving - len(p.atHand(domain, model)) - p.ending(domain, model)
-	if missing <= 0 || p.take(domain, model, missing, model.Size) {
-		p.hold(domain, p.atHand(domain, model))
+	missing := leaving - len(p.freeWithModel(domain, model)) - p.closingDonors(domain, model)
+	if missing <= 0 || p.dismantleDonors(domain, model, missing, model.Size) {
+		p.hold(domain, p.freeWithModel(domain, model))
 	}
 }
 
-// take closes groups of a domain so that their members can join one of a larger
+// dismantleDonors closes groups of a domain so that their members can join one of a larger
 // model. It reports whether it found enough that are worth less where they are.
 // about is how many VMs of the model will be lost otherwise.
-func (p *planner) take(domain string, model fleet.Model, missing, about int) bool {
+func (p *planner) dismantleDonors(domain string, model fleet.Model, missing, about int) bool {
 	var chosen []*group
 	given := map[string]int{}
 	for _, g := range p.donors(domain, model) {
@@ -108,32 +108,32 @@
 		missing -= g.size()
 	}
 	p.serving[model.Name] -= about
-	worth := missing <= 0 && p.worthTaking(model, given, nil)
+	worth := missing <= 0 && p.worthDismantling(model, given, nil)
 	p.serving[model.Name] += about
 	if !worth {
 		return false
 	}
 	for _, g := range chosen {
-		p.takeApart(g, "gather_for_"+model.Name)
+		p.dismantle(g, "gather_for_"+model.Name)
 	}
 	return true
 }
 
-// takeApart ends a group, after its streams if it serves.
-func (p *planner) takeApart(g *group, why string) {
-	p.taken[g.name] = true
+// dismantle ends a group, after its streams if it serves.
+func (p *planner) dismantle(g *group, why string) {
+	p.dismantled[g.name] = true
 	if g.head().Member.State != fleet.Open {
 		p.release(g)
 		return
 	}
 	p.serving[g.model.Name] -= g.size()
-	p.give(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch}, why)
+	p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch}, why)
 }
 
-// worthTaking reports whether one more group of a model adds more to the even
+// worthDismantling reports whether one more group of a model adds more to the even
 // supply of all models than the VMs add that are given for it. Those that are
 // out of service already are counted back in.
-func (p *planner) worthTaking(model fleet.Model, given, out map[string]int) bool {
+func (p *planner) worthDismantling(model fleet.Model, given, out map[string]int) bool {
 	loss := 0.0
 	for _, m := range p.zone.Engine.Models {
 		if n := given[m.Name]; n > 0 {
@@ -157,29 +157,29 @@
 // come first.
 func (p *planner) donors(domain string, model fleet.Model) []*group {
 	var donors []*group
-	for _, g := range append(append([]*group(nil), p.idle...), p.serves...) {
-		if p.mayGive(g, domain, model) && !p.taken[g.name] {
+	for _, g := range append(append([]*group(nil), p.openable...), p.openGroups...) {
+		if p.canDonate(g, domain, model) && !p.dismantled[g.name] {
 			donors = append(donors, g)
 		}
 	}
 	return donors
 }
 
-// ending counts the members of groups that close and may join one of a model then.
-func (p *planner) ending(domain string, model fleet.Model) int {
+// closingDonors counts the members of groups that close and may join one of a model then.
+func (p *planner) closingDonors(domain string, model fleet.Model) int {
 	n := 0
-	for _, g := range p.closings {
-		if p.mayGive(g, domain, model) {
+	for _, g := range p.closingGroups {
+		if p.canDonate(g, domain, model) {
 			n += g.size()
 		}
 	}
 	return n
 }
 
-// mayGive reports whether a group of a domain is fit to be taken apart for a
+// canDonate reports whether a group of a domain is fit to be taken apart for a
 // larger model.
-func (p *planner) mayGive(g *group, domain string, model fleet.Model) bool {
-	if g.model.Size >= model.Size || g.head().Endpoint.Domain != domain || !g.whole() || g.unfit() > 0 {
+func (p *planner) canDonate(g *group, domain string, model fleet.Model) bool {
+	if g.model.Size >= model.Size || g.head().Endpoint.Domain != domain || !g.complete() || g.unfit() > 0 {
 		return false
 	}
 	for _, w := range g.byRank {
@@ -190,12 +190,12 @@
 	return p.hasStaged(g, model)
 }
 
-// atHand returns the free workers of a domain that have a model at hand, those
+// freeWithModel returns the free workers of a domain that have a model at hand, those
 // whose last group had it first.
-func (p *planner) atHand(domain string, model fleet.Model) []*Worker {
+func (p *planner) freeWithModel(domain string, model fleet.Model) []*Worker {
 	var all []*Worker
 	for _, w := range without(p.free[domain], p.held[domain]) {
-		if w.loading == "" && !w.Slow && !w.cold(model) {
+		if w.loading == "" && !w.Slow && !w.needsLoad(model) {
 			all = append(all, w)
 		}
 	}
--- a/formation/group.go
+++ b/formation/group.go
@@ -18,14 +18,14 @@
 
 func (g *group) head() *Worker { return g.byRank[0] }
 
-// reached reports whether the head is there and answers, as far as known.
-func (g *group) reached() bool {
+// headReachable reports whether the head is there and answers, as far as known.
+func (g *group) headReachable() bool {
 	head := g.head()
 	return head != nil && !head.Suspect && !head.Silent
 }
 
-// standing returns how the group's members stand to it.
-func (g *group) standing(z *Zone) Evidence {
+// evidence returns how the group's members stand to it.
+func (g *group) evidence(z *Zone) Evidence {
 	s := Evidence{Standby: g.standby, History: z.History(g.name)}
 	if head := g.head(); head != nil {
 		s.Head, s.HeadSince = head.Endpoint.Member, head.ReportedAt
@@ -33,8 +33,8 @@
 	return s
 }
 
-// whole reports whether every member is there, and usable.
-func (g *group) whole() bool {
+// complete reports whether every member is there, and usable.
+func (g *group) complete() bool {
 	for rank := range g.size() {
 		w := g.byRank[rank]
 		if w == nil || !w.usable() {
@@ -51,9 +51,9 @@
 	return g.model.Size
 }
 
-// lost reports whether a member is gone or doesn't answer, as against one that
+// hasLostMember reports whether a member is gone or doesn't answer, as against one that
 // only says that it leaves.
-func (g *group) lost() bool {
+func (g *group) hasLostMember() bool {
 	for rank := range g.size() {
 		if w := g.byRank[rank]; w == nil || w.Suspect || w.Silent {
 			return true
--- a/formation/loads.go
+++ b/formation/loads.go
@@ -20,9 +20,9 @@
 // The weight store's own allowance beyond its rate, and the part of the whole
 // that is used, as windows slide on another clock.
 const (
-	loadsBeyond  = 3
-	loadsMargin  = 0.9
-	slowestLoads = 0.2 // a second, where the parts are too small for a group
+	loadsAllowance = 3
+	loadsMargin    = 0.9
+	minLoadRate    = 0.2 // a second, where the parts are too small for a group
 )
 
 func newLoadBudget(bounds fleet.Bounds, engine *fleet.Engine, zones int) *loadBudget {
@@ -31,23 +31,23 @@
 		largest = max(largest, m.Size)
 	}
 	window := max(bounds.LoadsWindow.Seconds(), 1)
-	part := loadsMargin * (engine.LoadsPerSecond*window*bounds.LoadsOvershoot + loadsBeyond) / float64(max(1, zones))
+	part := loadsMargin * (engine.LoadsPerSecond*window*bounds.LoadsOvershoot + loadsAllowance) / float64(max(1, zones))
 	burst := min(float64(largest), max(1, part/2))
-	return &loadBudget{rate: max(slowestLoads, (part-burst)/window), burst: burst}
+	return &loadBudget{rate: max(minLoadRate, (part-burst)/window), burst: burst}
 }
 
-func (m *Manager) budgetOf(zone string, engine *fleet.Engine) *loadBudget {
-	b, ok := m.loads[zone]
+func (m *Manager) loadBudgetFor(zone string, engine *fleet.Engine) *loadBudget {
+	b, ok := m.loadBudgets[zone]
 	if !ok {
 		// A new holder doesn't know what the last one started: it begins with nothing.
 		b = newLoadBudget(m.Settings().Bounds, engine, len(m.Settings().Zones))
-		m.loads[zone] = b
+		m.loadBudgets[zone] = b
 	}
 	return b
 }
 
-// left returns how many loads may start now.
-func (b *loadBudget) left(now time.Time) int {
+// available returns how many loads may start now.
+func (b *loadBudget) available(now time.Time) int {
 	if !b.at.IsZero() {
 		b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.at).Seconds())
 	}
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -13,27 +13,27 @@
 
 // Times of the manager.
 const (
-	tick = 100 * time.Millisecond
-	// suspectFor is how long an endpoint that didn't answer stays out of groups.
-	suspectFor = 4 * time.Second
-	// overlayFor is how long an order counts as carried out before its effect
+	planInterval = 100 * time.Millisecond
+	// suspectDuration is how long an endpoint that didn't answer stays out of groups.
+	suspectDuration = 4 * time.Second
+	// overlayTimeout is how long an order counts as carried out before its effect
 	// shows in the endpoint's entry.
-	overlayFor = 2 * time.Second
+	overlayTimeout = 2 * time.Second
 	// slowPace is the pace from which a member counts as slow: it makes a whole
 	// group late. It counts so for slowFor, and is asked again then.
-	slowPace = 1.7
-	slowFor  = 10 * time.Second
+	slowPace     = 1.7
+	slowDuration = 10 * time.Second
 	// settleTime is how long the endpoints of a zone must be the same before its
 	// first groups are formed: groups of the first few would leave no domain for
 	// the large models. settleBound is the longest wait: groups must be open when
 	// the first requests come.
-	settleTime  = 500 * time.Millisecond
-	settleBound = 6 * time.Second
-	// lateOrders is how long after it was given an order without an answer may
+	settleTime    = 500 * time.Millisecond
+	maxSettleTime = 6 * time.Second
+	// lateOrderWindow is how long after it was given an order without an answer may
 	// still be carried out.
-	lateOrders = 14 * time.Second
-	// probeAgain spaces questions to an endpoint that doesn't answer.
-	probeAgain = 500 * time.Millisecond
+	lateOrderWindow = 14 * time.Second
+	// probeInterval spaces questions to an endpoint that doesn't answer.
+	probeInterval = 500 * time.Millisecond
 )
 
 // Options are the parts that a manager works with.
@@ -62,40 +62,40 @@
 // Manager forms the groups of the zones whose lease this node holds.
 type Manager struct {
 	Options
-	mu       sync.Mutex
-	notes    map[string]*note
-	groups   map[string]*groupNote
-	epoch    int64
-	loads    map[string]*loadBudget // by zone
-	arrivals map[string]*arrival    // by zone
-	demands  map[string]*demand     // by zone
-	sending  map[string]bool        // endpoints with an order on its way
-	probing  map[string]bool
-	pending  atomic.Bool
-	stopped  bool
-	group    *kernel.Group
+	mu            sync.Mutex
+	endpoints     map[string]*endpointState
+	groups        map[string]*groupState
+	epoch         int64
+	loadBudgets   map[string]*loadBudget   // by zone
+	registrations map[string]*registration // by zone
+	demands       map[string]*demand       // by zone
+	sending       map[string]bool          // endpoints with an order on its way
+	probing       map[string]bool
+	pending       atomic.Bool
+	stopped       bool
+	group         *kernel.Group
 }
 
-// note is what the manager remembers of an endpoint between plans.
-type note struct {
-	worker   Worker
-	born     int64
-	suspect  time.Time // until when
-	slow     time.Time // until when
-	overlay  fleet.Membership
-	overlaid time.Time
-	shown    fleet.Membership
-	seenAt   time.Time
-	probedAt time.Time
-	unlisted unlisted
-	// late is the group of the last order to join that got no answer, and
+// endpointState is what the manager remembers of an endpoint between plans.
+type endpointState struct {
+	worker       Worker
+	born         int64
+	suspectUntil time.Time // until when
+	slowUntil    time.Time // until when
+	overlay      fleet.Membership
+	overlaidAt   time.Time
+	reported     fleet.Membership
+	seenAt       time.Time
+	probedAt     time.Time
+	unlisted     unlisted
+	// unansweredJoin is the group of the last order to join that got no answer, and
 	// lateUntil is until when that may be carried out.
-	late      string
-	lateUntil time.Time
+	unansweredJoin      string
+	unansweredJoinUntil time.Time
 }
 
-// arrival follows how the endpoints of a zone register at the start.
-type arrival struct {
+// registration follows how the endpoints of a zone register at the start.
+type registration struct {
 	count   int
 	first   time.Time
 	changed time.Time
@@ -104,8 +104,8 @@
 // NewManager returns a manager that has seen nothing.
 func NewManager(options Options) *Manager {
 	return &Manager{
-		Options: options, notes: map[string]*note{}, groups: map[string]*groupNote{},
-		loads: map[string]*loadBudget{}, arrivals: map[string]*arrival{}, demands: map[string]*demand{}, sending: map[string]bool{}, probing: map[string]bool{},
+		Options: options, endpoints: map[string]*endpointState{}, groups: map[string]*groupState{},
+		loadBudgets: map[string]*loadBudget{}, registrations: map[string]*registration{}, demands: map[string]*demand{}, sending: map[string]bool{}, probing: map[string]bool{},
 	}
 }
 
@@ -123,7 +123,7 @@
 // Start plans until the group stops.
 func (m *Manager) Start(g *kernel.Group) {
 	m.group = g
-	g.Every("formation", tick, m.step)
+	g.Every("formation", planInterval, m.step)
 }
 
 func (m *Manager) step(ctx context.Context, now time.Time) {
@@ -133,11 +133,11 @@
 		m.pending.Store(false)
 		return
 	}
-	m.forget(now)
+	m.pruneGroups(now)
 	pending := false
 	for _, zone := range m.Settings().Zones {
 		if !m.HoldsLease(zone) {
-			delete(m.loads, zone)
+			delete(m.loadBudgets, zone)
 			delete(m.demands, zone)
 			continue
 		}
@@ -184,25 +184,25 @@
 // something is under way.
 func (m *Manager) planZone(ctx context.Context, now time.Time, zone string, service fleet.Service, endpoints []*fleet.Endpoint) bool {
 	engine := service.Engine
-	z := &Zone{History: m.past, Progressing: func(id string) bool { return m.Progressing(now, id) }, Engine: engine, Startup: m.Settings().FirstStart && !m.TrafficStarted(), NextEpoch: m.nextEpoch}
+	z := &Zone{History: m.history, Progressing: func(id string) bool { return m.Progressing(now, id) }, Engine: engine, Startup: m.Settings().FirstStart && !m.TrafficStarted(), NextEpoch: m.nextEpoch}
 	pending := false
 	for _, e := range endpoints {
 		if e.Zone != zone {
 			continue
 		}
-		w := m.noted(now, e)
+		w := m.trackEndpoint(now, e)
 		z.Workers = append(z.Workers, w)
 		m.epoch = max(m.epoch, w.Member.Epoch, e.Member.Epoch)
-		pending = pending || w.awaited()
+		pending = pending || w.changePending()
 	}
-	if z.Startup && !m.settled(now, zone, len(z.Workers)) {
+	if z.Startup && !m.registrationSettled(now, zone, len(z.Workers)) {
 		return true
 	}
 	m.addUnlisted(ctx, now, z, zone, service.Name, service.HealthPath)
 	m.markFree(now, z.Workers)
-	budget := m.budgetOf(zone, engine)
-	z.Loads, z.StageAtOnce = budget.left(now), max(1, engine.LoadsAtOnce/max(1, len(m.Settings().Zones)))
-	z.Demand = m.followDemand(now, z, zone)
+	budget := m.loadBudgetFor(zone, engine)
+	z.Loads, z.StageAtOnce = budget.available(now), max(1, engine.LoadsAtOnce/max(1, len(m.Settings().Zones)))
+	z.Demand = m.updateDemand(now, z, zone)
 	steps := z.Plan(now)
 	for _, s := range steps {
 		if s.Loads && !z.Startup {
@@ -213,17 +213,17 @@
 	return pending || len(steps) > 0
 }
 
-// settled reports whether a zone's endpoints have all registered, as far as can be told.
-func (m *Manager) settled(now time.Time, zone string, count int) bool {
-	a, ok := m.arrivals[zone]
+// registrationSettled reports whether a zone's endpoints have all registered, as far as can be told.
+func (m *Manager) registrationSettled(now time.Time, zone string, count int) bool {
+	a, ok := m.registrations[zone]
 	if !ok {
-		a = &arrival{first: now}
-		m.arrivals[zone] = a
+		a = &registration{first: now}
+		m.registrations[zone] = a
 	}
 	if a.count != count {
 		a.count, a.changed = count, now
 	}
-	return count > 0 && (now.Sub(a.changed) >= settleTime || now.Sub(a.first) >= settleBound)
+	return count > 0 && (now.Sub(a.changed) >= settleTime || now.Sub(a.first) >= maxSettleTime)
 }
 
 const (
--- a/formation/orders.go
+++ b/formation/orders.go
@@ -18,13 +18,13 @@
 		return
 	}
 	m.sending[id] = true
-	n := m.notes[id]
-	from, before := n.worker.Member, m.past(s.Order.Group)
+	n := m.endpoints[id]
+	from, before := n.worker.Member, m.history(s.Order.Group)
 	n.worker.OrderedAt[s.Order.Kind] = now
 	if s.Order.Kind == fleet.OrderStage {
 		n.worker.Staging = s.Order.Model
 	}
-	m.notePast(now, from, s.Order)
+	m.recordOrder(now, from, s.Order)
 	m.overlay(now, n, s)
 	klog.InfoS("order", "kind", s.Order.Kind, "endpoint", id, "group", s.Order.Group, "epoch", s.Order.Epoch, "why", s.Why,
 		"members", s.Order.Members, "entry", s.Endpoint.Revision, "loads", s.Loads, "from", from.Group, "proof", s.Proof)
@@ -33,8 +33,8 @@
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			delete(m.sending, id)
-			n.overlaid = time.Time{}
-			m.noteOpened(time.Now(), s.Order.Group, before, fleet.Refused)
+			n.overlaidAt = time.Time{}
+			m.recordOpenOutcome(time.Now(), s.Order.Group, before, fleet.Refused)
 			return nil
 		}
 		outcome, err := m.Orderer.Order(ctx, s.Endpoint, s.Order)
@@ -45,48 +45,48 @@
 			klog.InfoS("order_failed", "kind", s.Order.Kind, "endpoint", id, "group", s.Order.Group, "epoch", s.Order.Epoch,
 				"outcome", outcome, "err", err)
 		}
-		m.noteOutcome(time.Now(), n, s.Order, from, before, outcome)
-		m.noteUnchanged(time.Now(), n, s.Order.Kind, outcome)
+		m.recordOutcome(time.Now(), n, s.Order, from, before, outcome)
+		m.settleOverlay(time.Now(), n, s.Order.Kind, outcome)
 		if redwinghall.KindOf[platform.Kind](err) == platform.Absent {
-			n.suspect = time.Now().Add(suspectFor)
+			n.suspectUntil = time.Now().Add(suspectDuration)
 			n.unlisted.absent = !n.unlisted.since.IsZero()
 		}
 		return nil
 	})
 }
 
-// noteOutcome takes in what came of an order for the groups. from is the
+// recordOutcome takes in what came of an order for the groups. from is the
 // endpoint's membership, and before its group's past, when the order was given.
-func (m *Manager) noteOutcome(now time.Time, n *note, order fleet.Order, from fleet.Membership, before GroupHistory, outcome fleet.Outcome) {
+func (m *Manager) recordOutcome(now time.Time, n *endpointState, order fleet.Order, from fleet.Membership, before GroupHistory, outcome fleet.Outcome) {
 	switch order.Kind {
 	case fleet.OrderLeave:
 		if outcome == fleet.Begun || outcome == fleet.Done {
-			m.left(now, n, from)
+			m.recordLeave(now, n, from)
 		}
 	case fleet.OrderJoin:
 		if outcome == fleet.Unanswered {
-			n.late, n.lateUntil = order.Group, now.Add(lateOrders)
+			n.unansweredJoin, n.unansweredJoinUntil = order.Group, now.Add(lateOrderWindow)
 		}
 	case fleet.OrderOpen:
-		m.noteOpened(now, order.Group, before, outcome)
+		m.recordOpenOutcome(now, order.Group, before, outcome)
 	case fleet.OrderClose, fleet.OrderStage:
 	}
 }
 
-// noteUnchanged takes in that an order changed nothing: the entry already tells
+// settleOverlay takes in that an order changed nothing: the entry already tells
 // how things are.
 //
 // Guard: of a join it may not tell yet. Where the store is slow, an endpoint
 // answers that it has joined before its entry shows it; taken for the truth, the
 // old entry dissolves the group, and its members wait for seconds.
-func (m *Manager) noteUnchanged(now time.Time, n *note, kind fleet.OrderKind, outcome fleet.Outcome) {
+func (m *Manager) settleOverlay(now time.Time, n *endpointState, kind fleet.OrderKind, outcome fleet.Outcome) {
 	switch {
 	case kind == fleet.OrderStage: // says nothing of the membership
 	case outcome == fleet.Done && kind == fleet.OrderJoin:
-		n.overlaid = now
+		n.overlaidAt = now
 	case outcome == fleet.Done && kind == fleet.OrderLeave:
 	case outcome == fleet.Refused || outcome == fleet.Done:
-		n.overlaid = time.Time{}
+		n.overlaidAt = time.Time{}
 	}
 }
 
@@ -104,7 +104,7 @@
 			// that it is the same membership.
 			ready := err == nil && report.Member.Group == s.Order.Group && report.Member.Epoch == s.Order.Epoch
 			if !ready {
-				m.noteUnready(e, report, err)
+				m.suspectMember(e, report, err)
 			}
 			answers <- ready
 			return nil
@@ -117,27 +117,27 @@
 	return all
 }
 
-// noteUnready keeps an endpoint that contradicts its entry out of groups for a while.
-func (m *Manager) noteUnready(e *fleet.Endpoint, report fleet.Report, err error) {
+// suspectMember keeps an endpoint that contradicts its entry out of groups for a while.
+func (m *Manager) suspectMember(e *fleet.Endpoint, report fleet.Report, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	klog.InfoS("member_not_ready", "endpoint", e.ID, "entry", e.Revision, "group", report.Member.Group, "state", report.Member.State, "err", err)
-	if n, ok := m.notes[e.ID]; ok {
-		n.suspect = time.Now().Add(suspectFor)
+	if n, ok := m.endpoints[e.ID]; ok {
+		n.suspectUntil = time.Now().Add(suspectDuration)
 	}
 }
 
-// left notes that an endpoint answered that it left its group.
-func (m *Manager) left(now time.Time, n *note, from fleet.Membership) {
-	n.overlay, n.overlaid = fleet.Membership{}, now
-	n.holdFor(from.Group)
-	if headed(from) {
-		m.groupOf(now, from.Group).HeadLeft = true
+// recordLeave notes that an endpoint answered that it recordLeave its group.
+func (m *Manager) recordLeave(now time.Time, n *endpointState, from fleet.Membership) {
+	n.overlay, n.overlaidAt = fleet.Membership{}, now
+	n.delayRejoin(from.Group)
+	if isHead(from) {
+		m.trackGroup(now, from.Group).HeadLeft = true
 	}
 }
 
 // overlay notes what an order does before the endpoint's entry shows it.
-func (m *Manager) overlay(now time.Time, n *note, s Step) {
+func (m *Manager) overlay(now time.Time, n *endpointState, s Step) {
 	order := s.Order
 	next := n.worker.Member
 	switch order.Kind {
@@ -150,7 +150,7 @@
 	case fleet.OrderLeave, fleet.OrderStage:
 		return // what counts is that it was done
 	}
-	n.overlay, n.overlaid = next, now
+	n.overlay, n.overlaidAt = next, now
 }
 
 func rankOf(members []string, id string) int {
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -11,41 +11,41 @@
 const (
 	// switchTime is the loading time that halves the worth of forming a group.
 	switchTime = 4 * time.Second
-	// convertPatience is how long free VMs wait for a lost member to come back
+	// reloadDelay is how long free VMs wait for a lost member to come back
 	// before they are loaded with another model. VMs that crashed come
 	// back with their model still in the host's memory.
-	convertPatience = 6 * time.Second
-	// loadSettle is how long a worker must be free before it loads a model: VMs
+	reloadDelay = 6 * time.Second
+	// loadDelay is how long a worker must be free before it loads a model: VMs
 	// of a domain that was dark come back over half a second, and the first
 	// should not be loaded with what the whole domain doesn't need.
-	loadSettle = time.Second
+	loadDelay = time.Second
 	// slowPenalty puts slow workers last when a group is formed.
 	slowPenalty = 10 * time.Second
 	// unlistedPenalty puts those without an entry behind equals, so that they
 	// don't become heads.
 	unlistedPenalty = 100 * time.Millisecond
-	// atHandBonus favours the model that a standby has already.
-	atHandBonus = 1.2
+	// stagedBonus favours the model that a standby has already.
+	stagedBonus = 1.2
 	// drainGrace is how long a group without a replacement goes on serving
 	// after a member said that it leaves.
 	drainGrace = 2500 * time.Millisecond
-	// orderRepeat is when an order without visible effect is given again.
-	orderRepeat = 1200 * time.Millisecond
-	// entryLate is how much later than those of the others of its group a
+	// orderRetryInterval is when an order without visible effect is given again.
+	orderRetryInterval = 1200 * time.Millisecond
+	// entryLagLimit is how much later than those of the others of its group a
 	// member's entry may show that it joined.
-	entryLate = 900 * time.Millisecond
-	// openSettle is how long after an order to open a head may still look as if
+	entryLagLimit = 900 * time.Millisecond
+	// openSettleTime is how long after an order to open a head may still look as if
 	// it were not open: it takes the formation's time, and the entry's way.
-	openSettle = 2500 * time.Millisecond
-	// stuckClosing is when a group that finishes its work is told to end it.
-	stuckClosing = 1500 * time.Millisecond
-	// patientClosing is the same where no member is about to leave: longer than
+	openSettleTime = 2500 * time.Millisecond
+	// closeTimeout is when a group that finishes its work is told to end it.
+	closeTimeout = 1500 * time.Millisecond
+	// gracefulCloseTimeout is the same where no member is about to leave: longer than
 	// most streams take.
-	patientClosing = 4 * time.Second
-	// stuckJoining bounds how long a member may take to join beyond its load.
-	stuckJoining = 3 * time.Second
-	// instantJoin is the time of a join where the VM's last group had the model.
-	instantJoin = 200 * time.Millisecond
+	gracefulCloseTimeout = 4 * time.Second
+	// joinGrace bounds how long a member may take to join beyond its load.
+	joinGrace = 3 * time.Second
+	// warmJoinTime is the time of a join where the VM's last group had the model.
+	warmJoinTime = 200 * time.Millisecond
 )
 
 // Step is one order for one endpoint, with why it is given.
@@ -88,7 +88,7 @@
 	}
 	groups := z.groups()
 	p := &planner{
-		zone: z, now: now, free: map[string][]*Worker{}, held: map[string][]*Worker{}, taken: map[string]bool{},
+		zone: z, now: now, free: map[string][]*Worker{}, held: map[string][]*Worker{}, dismantled: map[string]bool{},
 		serving: map[string]int{}, reserved: map[string]int{}, shares: z.shares(),
 	}
 	p.loading = p.stagingNow()
@@ -97,13 +97,13 @@
 	}
 	for _, w := range z.Workers {
 		if w.Member.Group == "" && w.usable() {
-			p.setFree(w, Evidence{})
+			p.freeWorker(w, Evidence{})
 		}
 	}
 	p.gather()
 	p.convert()
 	p.replace()
-	p.open()
+	p.openReady()
 	p.form()
 	p.keepStandbys()
 	p.stage()
@@ -119,32 +119,32 @@
 	free map[string][]*Worker
 	// held are free workers that are kept while others are gathered to join them,
 	// taken are the names of the groups that are taken apart for that.
-	held  map[string][]*Worker
-	taken map[string]bool
+	held       map[string][]*Worker
+	dismantled map[string]bool
 	// shares are the models' parts of the VMs.
 	shares map[string]float64
 	// serving counts the workers in groups of each model.
 	serving map[string]int
 	// draining are groups that serve until a replacement is there, reserved
 	// counts the workers of each domain that are meant as one.
-	draining []*group
-	idle     []*group // ready to open
-	serves   []*group // open, and whole
-	loading  int      // workers that take a model in while they serve
-	closings []*group // finishing their streams
-	reserved map[string]int
+	draining      []*group
+	openable      []*group // ready to open
+	openGroups    []*group // open, and whole
+	loading       int      // workers that take a model in while they serve
+	closingGroups []*group // finishing their streams
+	reserved      map[string]int
 }
 
-func (p *planner) give(w *Worker, order fleet.Order, why string) {
-	if w.ordered(order.Kind, p.now, orderRepeat) {
+func (p *planner) issue(w *Worker, order fleet.Order, why string) {
+	if w.orderedWithin(order.Kind, p.now, orderRetryInterval) {
 		return
 	}
 	p.steps = append(p.steps, Step{Endpoint: w.Endpoint, Order: order, Why: why})
 }
 
-// setFree lets a worker join another group if that is proven to be safe, and
+// freeWorker lets a worker join another group if that is proven to be safe, and
 // reports whether it is. Nothing else makes workers free.
-func (p *planner) setFree(w *Worker, s Evidence) bool {
+func (p *planner) freeWorker(w *Worker, s Evidence) bool {
 	s.Member, s.RejoinUntil = w.Member, w.RejoinUntil
 	w.proof = s.Proof(p.now)
 	if w.proof == Unproven {
@@ -167,26 +167,26 @@
 		}
 		if spare || p.now.Sub(since) > drainGrace {
 			p.reserved[g.head().Endpoint.Domain] += g.unfit()
-			p.give(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch}, "member_leaves")
+			p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch}, "member_leaves")
 		}
 	}
 }
 
-// open opens the groups that are ready, unless a slow member can be replaced.
-func (p *planner) open() {
-	for _, g := range p.idle {
-		if p.taken[g.name] {
+// openReady opens the groups that are ready, unless a slow member can be replaced.
+func (p *planner) openReady() {
+	for _, g := range p.openable {
+		if p.dismantled[g.name] {
 			continue
 		}
-		opening := g.head().ordered(fleet.OrderOpen, p.now, openSettle)
+		opening := g.head().orderedWithin(fleet.OrderOpen, p.now, openSettleTime)
 		if !opening && g.slow() && p.spares(g) >= g.unfit() {
 			p.reserved[g.head().Endpoint.Domain] += g.unfit()
 			p.release(g)
 			continue
 		}
-		p.count(g)
+		p.countServing(g)
 		before := len(p.steps)
-		p.give(g.head(), fleet.Order{Kind: fleet.OrderOpen, Group: g.name, Epoch: g.epoch}, "all_ready")
+		p.issue(g.head(), fleet.Order{Kind: fleet.OrderOpen, Group: g.name, Epoch: g.epoch}, "all_ready")
 		for i := before; i < len(p.steps); i++ {
 			p.steps[i].Members = g.endpoints()
 		}
@@ -198,7 +198,7 @@
 	domain := g.head().Endpoint.Domain
 	n := -p.reserved[domain]
 	for _, w := range append(append([]*Worker(nil), p.free[domain]...), p.held[domain]...) {
-		if !w.cold(g.model) && w.loading == "" && !w.Slow {
+		if !w.needsLoad(g.model) && w.loading == "" && !w.Slow {
 			n++
 		}
 	}
--- a/formation/probes.go
+++ b/formation/probes.go
@@ -13,17 +13,17 @@
 func (m *Manager) ReportStall(ctx context.Context, headID string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	head, ok := m.notes[headID]
+	head, ok := m.endpoints[headID]
 	if !ok || head.worker.Endpoint == nil || m.group == nil || !m.HoldsLease(head.worker.Endpoint.Zone) {
 		return
 	}
 	now := time.Now()
-	for id, n := range m.notes {
+	for id, n := range m.endpoints {
 		e := n.worker.Endpoint
 		if e == nil || e.Domain != head.worker.Endpoint.Domain || e.Zone != head.worker.Endpoint.Zone {
 			continue
 		}
-		if m.probing[id] || now.Sub(n.probedAt) < probeAgain || now.Sub(n.seenAt) > time.Second {
+		if m.probing[id] || now.Sub(n.probedAt) < probeInterval || now.Sub(n.seenAt) > time.Second {
 			continue
 		}
 		m.probing[id] = true
@@ -33,7 +33,7 @@
 }
 
 // probe asks one endpoint whether it is alive.
-func (m *Manager) probe(ctx context.Context, n *note) {
+func (m *Manager) probe(ctx context.Context, n *endpointState) {
 	endpoint := n.worker.Endpoint
 	m.group.Go("probe", func(context.Context) error {
 		report, err := m.Orderer.Report(ctx, endpoint)
@@ -42,21 +42,21 @@
 		defer m.mu.Unlock()
 		delete(m.probing, endpoint.ID)
 		if err == nil {
-			m.notePace(now, n, report.Pace)
+			m.recordPace(now, n, report.Pace)
 			return nil
 		}
 		klog.InfoS("member_silent", "endpoint", endpoint.ID, "group", n.worker.Member.Group, "err", err)
-		n.suspect = now.Add(suspectFor)
+		n.suspectUntil = now.Add(suspectDuration)
 		return nil
 	})
 }
 
-// notePace notes an endpoint that says that it works slower than it should.
-func (m *Manager) notePace(now time.Time, n *note, pace float64) {
+// recordPace notes an endpoint that says that it works slower than it should.
+func (m *Manager) recordPace(now time.Time, n *endpointState, pace float64) {
 	if pace < slowPace {
-		n.slow = time.Time{}
+		n.slowUntil = time.Time{}
 		return
 	}
 	klog.InfoS("member_slow", "endpoint", n.worker.Endpoint.ID, "group", n.worker.Member.Group, "pace", pace)
-	n.slow = now.Add(slowFor)
+	n.slowUntil = now.Add(slowDuration)
 }
--- a/formation/reconcile.go
+++ b/formation/reconcile.go
@@ -10,15 +10,15 @@
 	switch {
 	case g.standby:
 		p.release(g)
-	case !g.reached():
+	case !g.headReachable():
 		p.release(g)
 	case g.head().Member.State == fleet.Open && g.head().Unlisted:
-		p.give(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch}, "head_unlisted")
+		p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch}, "head_unlisted")
 	case g.head().Member.State == fleet.Open:
-		p.opened(g)
+		p.reconcileOpen(g)
 	case g.head().Member.State == fleet.Closing:
-		p.closing(g)
-	case g.head().Member.State == fleet.Broken || !g.whole() || g.head().Unlisted:
+		p.reconcileClosing(g)
+	case g.head().Member.State == fleet.Broken || !g.complete() || g.head().Unlisted:
 		p.release(g)
 	case p.zone.History(g.name).MembersRemoved:
 		// An order that takes a member away may still be carried out: a group
@@ -29,76 +29,76 @@
 		// epochs than this group's. A group of our own outlasts them.
 		p.release(g)
 	case g.ready():
-		p.idle = append(p.idle, g)
+		p.openable = append(p.openable, g)
 	default:
-		p.joining(g)
+		p.reconcileJoining(g)
 	}
 }
 
-func (p *planner) count(g *group) { p.serving[g.model.Name] += g.model.Size }
+func (p *planner) countServing(g *group) { p.serving[g.model.Name] += g.model.Size }
 
-// opened looks at a group that serves.
+// reconcileOpen looks at a group that serves.
 //
 // Guard: a group that lost a member goes on accepting requests, and nothing
 // moves. It is closed at once, so that its callers go elsewhere and its other
 // members are of use again.
-func (p *planner) opened(g *group) {
+func (p *planner) reconcileOpen(g *group) {
 	switch {
-	case g.whole():
-		p.count(g)
-		p.serves = append(p.serves, g)
+	case g.complete():
+		p.countServing(g)
+		p.openGroups = append(p.openGroups, g)
 		if g.slow() {
 			p.draining = append(p.draining, g)
 		}
 	case g.onlySilent() && p.zone.Progressing(g.head().Endpoint.ID):
 		// Members that are cut off from here and from the store may still serve
 		// with the others: what the streams show goes first.
-		p.count(g)
-	case g.lost() || !g.known:
-		p.give(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "member_lost")
+		p.countServing(g)
+	case g.hasLostMember() || !g.known:
+		p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "member_lost")
 	default:
-		p.count(g)
+		p.countServing(g)
 		p.draining = append(p.draining, g)
 	}
 }
 
-func (p *planner) closing(g *group) {
+func (p *planner) reconcileClosing(g *group) {
 	since := p.now.Sub(g.head().ChangedAt)
-	patience := stuckClosing
-	if g.whole() && g.unfit() == 0 {
-		p.closings = append(p.closings, g)
-		patience = patientClosing
+	patience := closeTimeout
+	if g.complete() && g.unfit() == 0 {
+		p.closingGroups = append(p.closingGroups, g)
+		patience = gracefulCloseTimeout
 	}
-	if g.lost() || since > patience {
-		p.give(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "closing_takes_long")
+	if g.hasLostMember() || since > patience {
+		p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "closing_takes_long")
 	}
 }
 
-// joining waits for members, and gives the order again to those that show no
+// reconcileJoining waits for members, and gives the order again to those that show no
 // sign of it.
-func (p *planner) joining(g *group) {
-	if p.muted(g) {
+func (p *planner) reconcileJoining(g *group) {
+	if p.excludeStaleMembers(g) {
 		p.release(g)
 		return
 	}
-	p.count(g)
+	p.countServing(g)
 	members := g.members()
 	for rank := range g.size() {
 		w := g.byRank[rank]
 		shown := w.Endpoint.Member.Group == g.name && w.Endpoint.Member.Epoch == g.epoch
 		if !shown && members != nil {
-			p.give(w, fleet.Order{Kind: fleet.OrderJoin, Group: g.name, Epoch: g.epoch, Model: g.model.Name, Members: members}, "join_again")
+			p.issue(w, fleet.Order{Kind: fleet.OrderJoin, Group: g.name, Epoch: g.epoch, Model: g.model.Name, Members: members}, "join_again")
 		}
 	}
 }
 
-// muted reports whether a member's entry doesn't show that it joined, although
+// excludeStaleMembers reports whether a member's entry doesn't show that it joined, although
 // the entries of most others do, and leaves that member out for a while.
 //
 // Guard: an endpoint that is cut off from the store, and from nothing else,
 // takes the order, and its entry stays as it was until it lapses.
 // The group waits for it, and those of its members that are fit serve nobody.
-func (p *planner) muted(g *group) bool {
+func (p *planner) excludeStaleMembers(g *group) bool {
 	var late []*Worker
 	shown := 0
 	for rank := range g.size() {
@@ -106,7 +106,7 @@
 		switch {
 		case w.Endpoint.Member.Group == g.name && w.Endpoint.Member.Epoch == g.epoch:
 			shown++
-		case p.now.Sub(w.ChangedAt) > entryLate:
+		case p.now.Sub(w.ChangedAt) > entryLagLimit:
 			late = append(late, w)
 		}
 	}
@@ -114,7 +114,7 @@
 		return false // where most are late, the store is slow
 	}
 	for _, w := range late {
-		w.StaleEntryUntil = p.now.Add(suspectFor)
+		w.StaleEntryUntil = p.now.Add(suspectDuration)
 		w.Suspect = true
 	}
 	return true
@@ -142,12 +142,12 @@
 // requests that nobody works on. So the head leaves first where it is reached:
 // its word frees all others at once.
 func (p *planner) release(g *group) {
-	standing := g.standing(p.zone)
-	if p.ended(g, standing) || !g.reached() {
+	standing := g.evidence(p.zone)
+	if p.provenEnded(g, standing) || !g.headReachable() {
 		p.releaseMembers(g, standing)
 		return
 	}
-	p.give(g.head(), fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "may_open_late")
+	p.issue(g.head(), fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "may_open_late")
 }
 
 func (p *planner) releaseMembers(g *group, standing Evidence) {
@@ -155,18 +155,18 @@
 		if !w.usable() {
 			continue
 		}
-		if !p.setFree(w, standing) {
-			p.give(w, fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "head_unreachable")
+		if !p.freeWorker(w, standing) {
+			p.issue(w, fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "head_unreachable")
 			continue
 		}
-		if g.standby && w.Member.State == fleet.Joining && p.now.Sub(w.ChangedAt) < 2*g.model.Load+stuckJoining {
+		if g.standby && w.Member.State == fleet.Joining && p.now.Sub(w.ChangedAt) < 2*g.model.Load+joinGrace {
 			w.loading = g.model.Name
 		}
 	}
 }
 
-// ended reports whether a group is proven to serve no longer.
-func (p *planner) ended(g *group, standing Evidence) bool {
+// provenEnded reports whether a group is proven to serve no longer.
+func (p *planner) provenEnded(g *group, standing Evidence) bool {
 	standing.Member = fleet.Membership{Group: g.name, Epoch: g.epoch}
 	return standing.Proof(p.now) != Unproven
 }
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -6,12 +6,12 @@
 	"redwinghall/fleet"
 )
 
-// stagedPart is which part of a large group's members can be replaced at once.
-const stagedPart = 2
+// stagedDivisor is which part of a large group's members can be replaced at once.
+const stagedDivisor = 2
 
-// stageTries is after how many times its loading time an order to stage a model
+// stageRetryFactor is after how many times its loading time an order to stage a model
 // that shows no effect is given again.
-const stageTries = 2
+const stageRetryFactor = 2
 
 // stage lets members of small groups take a larger model into their hosts' memory
 // while they serve, so that they can replace lost members of its groups at once.
@@ -26,7 +26,7 @@
 		if p.forming() {
 			return // first the groups: loads slow each other down
 		}
-		p.prepare()
+		p.stageInAdvance()
 	}
 	domains := p.domains()
 	for _, model := range p.largestFirst() {
@@ -40,9 +40,9 @@
 
 // stageIn orders what a domain lacks of the VMs that have a model at hand.
 func (p *planner) stageIn(domain string, model fleet.Model) {
-	missing := (model.Size + stagedPart - 1) / stagedPart
+	missing := (model.Size + stagedDivisor - 1) / stagedDivisor
 	for _, w := range p.free[domain] {
-		if w.loading == model.Name || (w.loading == "" && !w.cold(model)) {
+		if w.loading == model.Name || (w.loading == "" && !w.needsLoad(model)) {
 			missing--
 		}
 	}
@@ -73,8 +73,8 @@
 // model, those first that have most of it.
 func (p *planner) stageable(domain string, model fleet.Model) []*group {
 	var groups []*group
-	for _, g := range p.serves {
-		if g.model.Size < model.Size && g.head().Endpoint.Domain == domain && g.unfit() == 0 && !p.taken[g.name] {
+	for _, g := range p.openGroups {
+		if g.model.Size < model.Size && g.head().Endpoint.Domain == domain && g.unfit() == 0 && !p.dismantled[g.name] {
 			groups = append(groups, g)
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 func (p *planner) staging(w *Worker, model fleet.Model) bool {
-	return w.Staging == model.Name && w.ordered(fleet.OrderStage, p.now, stageTries*model.Load)
+	return w.Staging == model.Name && w.orderedWithin(fleet.OrderStage, p.now, stageRetryFactor*model.Load)
 }
 
 // stageOn lets a worker take a model in, if not too many do.
@@ -131,7 +131,7 @@
 
 // forming reports whether any worker of the zone is about to join a group.
 func (p *planner) forming() bool {
-	if len(p.idle) > 0 || len(p.serves) == 0 {
+	if len(p.openable) > 0 || len(p.openGroups) == 0 {
 		return true
 	}
 	for _, w := range p.zone.Workers {
@@ -144,7 +144,7 @@
 
 // hasGroup reports whether a model is served in a domain.
 func (p *planner) hasGroup(domain string, model fleet.Model) bool {
-	for _, g := range p.serves {
+	for _, g := range p.openGroups {
 		if g.model.Name == model.Name && g.head().Endpoint.Domain == domain {
 			return true
 		}
--- a/formation/standby.go
+++ b/formation/standby.go
@@ -9,7 +9,7 @@
 // keepStandbys loads the workers that are left over with the models that they
 // may be needed for, so that the loss of a member costs a second instead of a load.
 func (p *planner) keepStandbys() {
-	grouped := p.grouped()
+	grouped := p.countByModel()
 	for _, domain := range sortedKeys(p.free) {
 		groups := grouped[domain]
 		count := map[string]int{}
@@ -31,8 +31,8 @@
 	}
 }
 
-// grouped counts the workers of each domain by the model of their group.
-func (p *planner) grouped() map[string]map[string]int {
+// countByModel counts the workers of each domain by the model of their group.
+func (p *planner) countByModel() map[string]map[string]int {
 	count := map[string]map[string]int{}
 	for _, w := range p.zone.Workers {
 		model, standby := parseName(w.Member.Group)
@@ -55,14 +55,14 @@
 		// The first spare covers most of a model's losses, a second one few.
 		need := (float64(groups[m.Name]) + 0.1*m.Share) / math.Pow(float64(1+count[m.Name]), 2)
 		if w.LastModel == m.Name || w.Endpoint.HasStaged(m.Name) || w.loading == m.Name {
-			need *= atHandBonus
+			need *= stagedBonus
 		}
 		if need > most {
 			best, most = m, need
 		}
 	}
 	count[best.Name]++
-	if best.Name != "" && w.LastModel != best.Name && (p.zone.Startup || p.freeFor(w, loadSettle)) {
+	if best.Name != "" && w.LastModel != best.Name && (p.zone.Startup || p.freeFor(w, loadDelay)) {
 		p.loadStandby(w, best, "standby")
 	}
 }
@@ -73,7 +73,7 @@
 	if w.loading != "" {
 		return // one load after the other
 	}
-	loads := w.cold(model)
+	loads := w.needsLoad(model)
 	if loads && !p.zone.Startup {
 		if p.zone.Loads <= 0 {
 			return
--- a/formation/unlisted.go
+++ b/formation/unlisted.go
@@ -13,18 +13,18 @@
 
 // Times of endpoints whose entry is missing.
 const (
-	// unlistedTrust is how long an endpoint without an entry counts after it
+	// unlistedTimeout is how long an endpoint without an entry counts after it
 	// last answered; until its first answer, it counts for unlistedGrace.
-	unlistedTrust = 1500 * time.Millisecond
-	unlistedGrace = 900 * time.Millisecond
-	unlistedProbe = 500 * time.Millisecond
-	// unlistedFails is how many questions without an answer make it lost.
-	unlistedFails = 2
-	// unlistedGone is how many make it not worth asking again.
-	unlistedGone = 6
-	// unlistedFor is how long an endpoint without an entry is asked at all.
-	unlistedFor = 40 * time.Second
-	notesFor    = 2 * time.Minute
+	unlistedTimeout       = 1500 * time.Millisecond
+	unlistedGrace         = 900 * time.Millisecond
+	unlistedProbeInterval = 500 * time.Millisecond
+	// unlistedMaxFailures is how many questions without an answer make it lost.
+	unlistedMaxFailures = 2
+	// unlistedAbsentFailures is how many make it not worth asking again.
+	unlistedAbsentFailures = 6
+	// unlistedProbePeriod is how long an endpoint without an entry is asked at all.
+	unlistedProbePeriod = 40 * time.Second
+	stateRetention      = 2 * time.Minute
 )
 
 // unlisted is what is known of an endpoint whose entry is missing.
@@ -50,14 +50,14 @@
 // an endpoint whose address another entry has counts no longer. That its own
 // group has ended isn't concluded from it.
 func (m *Manager) addUnlisted(ctx context.Context, now time.Time, z *Zone, zone, service, healthPath string) {
-	taken := m.addresses()
-	for id, n := range m.notes {
+	taken := m.listedAddresses()
+	for id, n := range m.endpoints {
 		e := n.worker.Endpoint
 		if e == nil || n.seenAt.Equal(now) || e.Zone != zone || e.Service != service {
 			continue
 		}
-		if now.Sub(n.seenAt) > notesFor {
-			delete(m.notes, id)
+		if now.Sub(n.seenAt) > stateRetention {
+			delete(m.endpoints, id)
 			continue
 		}
 		u := &n.unlisted
@@ -66,21 +66,21 @@
 			klog.InfoS("entry_missing", "endpoint", id, "group", n.worker.Member.Group, "entry", e.Revision)
 		}
 		u.absent = u.absent || taken[e.Address]
-		if u.absent || now.Sub(u.since) > unlistedFor {
+		if u.absent || now.Sub(u.since) > unlistedProbePeriod {
 			continue
 		}
 		m.askUnlisted(ctx, now, n, healthPath)
 		n.worker.Unlisted = true
-		n.worker.Silent = !u.counts(now)
-		n.worker.Suspect = now.Before(n.suspect)
-		n.worker.Slow = now.Before(n.slow)
-		m.noteMember(now, n)
+		n.worker.Silent = !u.responsive(now)
+		n.worker.Suspect = now.Before(n.suspectUntil)
+		n.worker.Slow = now.Before(n.slowUntil)
+		m.updateMembership(now, n)
 		z.Workers = append(z.Workers, &n.worker)
 	}
 }
 
-// addresses returns the addresses of all endpoints that have an entry.
-func (m *Manager) addresses() map[string]bool {
+// listedAddresses returns the listedAddresses of all endpoints that have an entry.
+func (m *Manager) listedAddresses() map[string]bool {
 	taken := map[string]bool{}
 	for _, e := range m.Book.View().Endpoints {
 		taken[e.Address] = true
@@ -88,20 +88,20 @@
 	return taken
 }
 
-func (u *unlisted) counts(now time.Time) bool {
+func (u *unlisted) responsive(now time.Time) bool {
 	if u.answered.IsZero() {
-		return now.Sub(u.since) < unlistedGrace && u.fails < unlistedFails
+		return now.Sub(u.since) < unlistedGrace && u.fails < unlistedMaxFailures
 	}
-	return now.Sub(u.answered) < unlistedTrust && u.fails < unlistedFails
+	return now.Sub(u.answered) < unlistedTimeout && u.fails < unlistedMaxFailures
 }
 
 // askUnlisted asks an endpoint for its state, and once whether it is leaving.
-func (m *Manager) askUnlisted(ctx context.Context, now time.Time, n *note, healthPath string) {
+func (m *Manager) askUnlisted(ctx context.Context, now time.Time, n *endpointState, healthPath string) {
 	id := n.worker.Endpoint.ID
-	if m.probing[id] || now.Sub(n.unlisted.askedAt) < unlistedProbe {
+	if m.probing[id] || now.Sub(n.unlisted.askedAt) < unlistedProbeInterval {
 		return
 	}
-	if n.unlisted.fails >= unlistedFails && now.Sub(n.unlisted.askedAt) < 4*unlistedProbe {
+	if n.unlisted.fails >= unlistedMaxFailures && now.Sub(n.unlisted.askedAt) < 4*unlistedProbeInterval {
 		return
 	}
 	m.probing[id] = true
@@ -118,19 +118,19 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		delete(m.probing, id)
-		m.noteUnlisted(time.Now(), n, report, leaving, err)
+		m.recordUnlistedReport(time.Now(), n, report, leaving, err)
 		return nil
 	})
 }
 
-func (m *Manager) noteUnlisted(now time.Time, n *note, report fleet.Report, leaving bool, err error) {
+func (m *Manager) recordUnlistedReport(now time.Time, n *endpointState, report fleet.Report, leaving bool, err error) {
 	u := &n.unlisted
 	if u.since.IsZero() {
 		return // its entry is back
 	}
 	if err != nil {
 		u.fails++
-		u.absent = redwinghall.KindOf[platform.Kind](err) == platform.Absent || u.fails >= unlistedGone
+		u.absent = redwinghall.KindOf[platform.Kind](err) == platform.Absent || u.fails >= unlistedAbsentFailures
 		klog.InfoS("unlisted_silent", "endpoint", n.worker.Endpoint.ID, "fails", u.fails, "absent", u.absent, "err", err)
 		return
 	}
--- a/formation/worker.go
+++ b/formation/worker.go
@@ -49,15 +49,15 @@
 	return !w.Suspect && !w.Silent && w.Endpoint.State == fleet.EndpointReady
 }
 
-func (w *Worker) ordered(kind fleet.OrderKind, now time.Time, within time.Duration) bool {
+func (w *Worker) orderedWithin(kind fleet.OrderKind, now time.Time, within time.Duration) bool {
 	at, ok := w.OrderedAt[kind]
 	return ok && now.Sub(at) < within
 }
 
-// awaited reports whether the worker's entry is about to change in a way that the
+// changePending reports whether the worker's entry is about to change in a way that the
 // next plan needs. A standby takes a model in for a load's time, and no group waits
 // for the moment in which it has it.
-func (w *Worker) awaited() bool {
+func (w *Worker) changePending() bool {
 	if _, standby := parseName(w.Member.Group); standby {
 		return false
 	}
@@ -69,18 +69,18 @@
 	switch {
 	case w.loading == m.Name:
 		// Not before it is done: a join would start the load anew.
-		return max(0, m.Load-now.Sub(w.ChangedAt)) + m.Warm + instantJoin
+		return max(0, m.Load-now.Sub(w.ChangedAt)) + m.Warm + warmJoinTime
 	case w.loading == "" && w.LastModel == m.Name:
-		return instantJoin
+		return warmJoinTime
 	case w.loading == "" && w.Endpoint.HasStaged(m.Name):
 		return m.Warm
 	}
-	return max(m.Load, instantJoin) + m.Warm
+	return max(m.Load, warmJoinTime) + m.Warm
 }
 
-// cold reports whether the worker would have to load the model from the
+// needsLoad reports whether the worker would have to load the model from the
 // weight store, and isn't doing so.
-func (w *Worker) cold(m fleet.Model) bool {
+func (w *Worker) needsLoad(m fleet.Model) bool {
 	if w.loading != "" {
 		return w.loading != m.Name
 	}
