--- a/formation/bench_test.go
+++ b/formation/bench_test.go
@@ -9,11 +9,11 @@
 	"redwinghall/formation"
 )
 
-// One plan of a zone whose groups all serve: 1,000 VMs in domains of eleven, as
-// many groups of six and of three as fit.
+// BenchmarkPlan measures one plan of a zone whose groups all serve: 1,000 VMs in
+// domains of eleven, with as many groups of six and of three as fit.
 func BenchmarkPlan(b *testing.B) {
 	z := &formation.Zone{
-		Engine: farmEngine(), Progressing: func(string) bool { return false }, NextEpoch: func() int64 { return 100 },
+		Engine: defaultEngine(), Progressing: func(string) bool { return false }, NextEpoch: func() int64 { return 100 },
 		History: func(string) formation.GroupHistory { return formation.GroupHistory{FormedHere: true} },
 	}
 	for d := range 90 {
--- a/formation/convert.go
+++ b/formation/convert.go
@@ -5,28 +5,27 @@
 )
 
 const (
-	// convertGain is by how much the even supply must gain, so that a group is
-	// given to another model: small differences come and go with the load.
+	// convertGain is the minimum gain in balanced supply for which a group is converted
+	// to another model. Smaller differences come and go with the load.
 	convertGain = 0.03
-	// minGroups is the least number of groups that a model keeps in a zone.
+	// minGroups is the minimum number of groups that a model keeps in a zone.
 	minGroups = 2
-	// maxUtilization is how much of their places a model's groups may need, when one has
-	// been given away and another is lost.
+	// maxUtilization is the highest part of a model's slots that may be needed after
+	// one of its groups is converted and another is lost.
 	maxUtilization = 0.8
 )
 
-// convert gives a group of a model that has places to spare to a smaller one
-// that is short, one group at a time. Its members take the smaller model into
-// their hosts' memory first, while they serve.
+// convert converts one group at a time from a model with spare capacity to a smaller
+// model that is short of it. The group's members stage the smaller model in host memory
+// first, while they keep serving.
 //
-// Gain: the configured shares say what the work was thought to be. Where it has
-// shifted, groups of one model are half empty while callers of another one are
-// refused.
+// The configured shares are only an estimate of the workload. When the demand differs,
+// groups of one model are half empty while requests for another are refused.
 func (p *planner) convert() {
 	if p.zone.Startup || len(p.closingGroups) > 0 {
 		return
 	}
-	for _, g := range p.openable { // it was closed for this, and isn't counted
+	for _, g := range p.openable { // closed to be converted, and no longer counted in serving
 		if to, ok := p.bestSmallerModel(g.model, p.serving[g.model.Name]+g.size()); ok && !p.dismantled[g.name] && g.unfit() == 0 && p.hasStaged(g, to) {
 			p.dismantle(g, "convert_to_"+to.Name)
 			return
@@ -45,7 +44,7 @@
 	}
 }
 
-// spareGroups returns the groups that serve and are worth more to a smaller model.
+// spareGroups returns the open groups whose VMs are worth more to a smaller model.
 func (p *planner) spareGroups() []*group {
 	count := p.countGroups()
 	var spare []*group
@@ -60,13 +59,15 @@
 	return spare
 }
 
-// hasCapacity reports whether so many groups of a model bear what is asked of it.
+// hasCapacity reports whether the given number of groups can carry a model's demand
+// within maxUtilization.
 func (p *planner) hasCapacity(model fleet.Model, groups int) bool {
 	return p.zone.Demand[model.Name] <= maxUtilization*float64(groups*p.zone.Engine.Slots)
 }
 
-// bestSmallerModel returns the smaller model to which the VMs of one group of a model are
-// worth most, if it is enough. held is how many VMs the model has with that group.
+// bestSmallerModel returns the smaller model to which the VMs of one group of from are
+// worth most, and false if the gain is not above convertGain. held is the number of VMs
+// that from has, including that group.
 func (p *planner) bestSmallerModel(from fleet.Model, held int) (fleet.Model, bool) {
 	var best fleet.Model
 	most := convertGain
@@ -83,13 +84,13 @@
 	return best, best.Name != ""
 }
 
-// wouldConvert reports whether one more group of a model would be given away at once.
+// wouldConvert reports whether one more group of a model would be converted right away.
 func (p *planner) wouldConvert(model fleet.Model) bool {
 	_, spare := p.bestSmallerModel(model, p.serving[model.Name]+model.Size)
 	return spare && p.countGroups()[model.Name] >= minGroups
 }
 
-// countGroups counts the groups that serve each model.
+// countGroups counts the open groups of each model.
 func (p *planner) countGroups() map[string]int {
 	count := map[string]int{}
 	for _, g := range p.openGroups {
@@ -113,9 +114,9 @@
 	}
 }
 
-// stageInAdvance lets one group of the largest model take the next smaller one into its
-// hosts' memory before the first request, when loads are quick, so that it can
-// be given away as soon as the demand shows.
+// stageInAdvance stages the next smaller model on one group of the largest model before
+// the first request, while loads are fast, so that the group can be converted as soon
+// as the demand is known.
 func (p *planner) stageInAdvance() {
 	models, count := p.largestFirst(), p.countGroups()
 	if len(models) < 2 || models[1].Size >= models[0].Size || count[models[0].Name] <= minGroups {
--- a/formation/convert_test.go
+++ b/formation/convert_test.go
@@ -12,44 +12,44 @@
 	"redwinghall/formation"
 )
 
-// askEvenly lets callers bring a number of requests for each model, spread over its groups.
-func askEvenly(f *farm, n *node, requests map[string]int) {
+// setDemand sets the number of requests for each model, spread evenly over its groups.
+func setDemand(f *fakeZone, n *node, requests map[string]int) {
 	each := map[string]int{}
 	for model, all := range requests {
-		each[model] = all / max(1, len(f.whole(model)))
+		each[model] = all / max(1, len(f.servingHeads(model)))
 	}
-	n.asked.Store(&each)
+	n.demand.Store(&each)
 }
 
-// The work has shifted: groups of the large model are nearly empty, and those of
-// the small one are full. One large group is given to the small model, without a
-// load; the others stay, and nothing swings back.
+// The demand has shifted: groups of the large model are nearly empty and those of the
+// small model are full. One large group is converted to the small model without a load;
+// the others stay, and no group is converted back.
 func TestDemandIsFollowed(t *testing.T) {
-	playPairs(t, func(t *testing.T, f *farm, n *node) {
+	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 		loads := f.loads
 		for range 30 {
-			askEvenly(f, n, map[string]int{"small": 10})
+			setDemand(f, n, map[string]int{"small": 10})
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.Len(t, f.whole("large"), 3, "the first requests say nothing of the demand")
+		require.Len(t, f.servingHeads("large"), 3, "the first requests are too few to show the demand")
 		for range 300 {
-			askEvenly(f, n, map[string]int{"large": 12, "small": 240})
+			setDemand(f, n, map[string]int{"large": 12, "small": 240})
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.Len(t, f.whole("large"), 2)
-		require.Len(t, f.whole("small"), 19)
+		require.Len(t, f.servingHeads("large"), 2)
+		require.Len(t, f.servingHeads("small"), 19)
 		require.Equal(t, loads, f.loads)
 		joins := f.joins
 		for range 300 {
-			askEvenly(f, n, map[string]int{"large": 12, "small": 240})
+			setDemand(f, n, map[string]int{"large": 12, "small": 240})
 			time.Sleep(100 * time.Millisecond)
 		}
 		require.Equal(t, joins, f.joins)
 	})
 }
 
-// A large group is lost while large ones have places to spare: it isn't made whole
-// only to be given away. Where they have none, it is.
+// A lost large group is not rebuilt while the large model has spare capacity, since it
+// would be converted right away. Without spare capacity it is rebuilt.
 func TestGroupToSpareIsNotMadeWhole(t *testing.T) {
 	for name, c := range map[string]struct {
 		demand map[string]float64
@@ -73,8 +73,9 @@
 	}
 }
 
-// pairsZone is a zone of three domains of eighteen, one of which has lost two
-// members of its large group. Two small groups of each have taken the large model in.
+// pairsZone returns a zone of three domains of eighteen. One domain has lost two
+// members of its large group. Two small groups of each domain have staged the large
+// model.
 func pairsZone() *formation.Zone {
 	z := &formation.Zone{
 		Engine: pairsEngine(), Progressing: func(string) bool { return false }, NextEpoch: func() int64 { return 100 },
@@ -108,62 +109,62 @@
 	return z
 }
 
-// A demand as the configuration expects it, and one that changes all the time,
-// leave the groups as they are.
+// Demand that matches the configured shares, and demand that fluctuates, leave the
+// groups unchanged.
 func TestUsualDemandChangesNothing(t *testing.T) {
-	playPairs(t, func(t *testing.T, f *farm, n *node) {
+	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 		joins := f.joins
 		for i := range 300 {
-			askEvenly(f, n, map[string]int{"large": 30 + 10*(i/20%2), "small": 150 - 50*(i/20%2)})
+			setDemand(f, n, map[string]int{"large": 30 + 10*(i/20%2), "small": 150 - 50*(i/20%2)})
 			time.Sleep(100 * time.Millisecond)
 		}
 		require.Equal(t, joins, f.joins)
 	})
 }
 
-// A model whose groups would not bear the loss of one keeps them, although another
-// model is shorter.
+// A model whose groups could not carry the demand after losing one keeps them, even if
+// another model is shorter of capacity.
 func TestModelKeepsGroupsForALoss(t *testing.T) {
-	playPairs(t, func(t *testing.T, f *farm, n *node) {
+	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 		for range 300 {
-			askEvenly(f, n, map[string]int{"large": 18, "small": 280})
+			setDemand(f, n, map[string]int{"large": 18, "small": 280})
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.Len(t, f.whole("large"), 3)
+		require.Len(t, f.servingHeads("large"), 3)
 	})
 }
 
-// The first reading finds no request yet: what comes after it must not count as a part of
-// itself, or a group is given away that the demand needs.
+// The first demand reading finds no request yet. It must not dominate the smoothed
+// demand, or a group that is needed is converted.
 func TestFirstReadingOfDemandGivesNoGroupAway(t *testing.T) {
-	playPairs(t, func(t *testing.T, f *farm, n *node) {
+	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 		time.Sleep(200 * time.Millisecond)
 		for range 300 {
-			askEvenly(f, n, map[string]int{"large": 18, "small": 280})
+			setDemand(f, n, map[string]int{"large": 18, "small": 280})
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.Len(t, f.whole("large"), 3)
+		require.Len(t, f.servingHeads("large"), 3)
 	})
 }
 
-// A model that nobody is seen to ask for keeps groups: its callers may just have
-// been refused.
+// A model without observed demand keeps groups: its requests may just have been
+// refused.
 func TestModelWithoutDemandKeepsGroups(t *testing.T) {
-	playPairs(t, func(t *testing.T, f *farm, n *node) {
+	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 		for range 600 {
-			askEvenly(f, n, map[string]int{"small": 280})
+			setDemand(f, n, map[string]int{"small": 280})
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.GreaterOrEqual(t, len(f.whole("large")), 2)
-		for _, w := range f.whole("large") {
+		require.GreaterOrEqual(t, len(f.servingHeads("large")), 2)
+		for _, w := range f.servingHeads("large") {
 			f.kill(w.members[1], true)
 			time.Sleep(700 * time.Millisecond)
 			n.manager.ReportStall(context.Background(), w.ID)
 		}
 		for range 300 {
-			askEvenly(f, n, map[string]int{"small": 280})
+			setDemand(f, n, map[string]int{"small": 280})
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.NotEmpty(t, f.whole("large"))
+		require.NotEmpty(t, f.servingHeads("large"))
 	})
 }
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// demandWindow is over how long the demand for models is smoothed: longer than
-	// answers take, shorter than a load.
+	// demandWindow is the time over which the demand for models is smoothed: longer
+	// than a response takes, shorter than a load.
 	demandWindow = 5 * time.Second
-	// minShareFraction is the part of its configured share that a model keeps whatever
-	// is asked for. What isn't served isn't seen, so demand alone would let a
-	// model die out.
+	// minShareFraction is the fraction of its configured share that a model keeps
+	// regardless of demand. Refused requests don't show up as demand, so without this
+	// floor a model could lose all its groups.
 	minShareFraction = 0.5
 )
 
-// demand follows how many requests the groups of each model of a zone have.
+// demand tracks the smoothed number of requests in the groups of each model of a zone.
 type demand struct {
 	requests map[string]float64
-	since    time.Time // when the first request came
+	since    time.Time // when the first request arrived
 	at       time.Time
 }
 
-// update takes in what the groups have now. Until demandTime is over it is the mean of
-// what came since the first request.
+// update adds a reading. Until demandWindow has passed, the demand is the mean of the
+// readings since the first request.
 //
-// Guard: smoothed from the first reading, in which the requests are only beginning, the
-// demand would count as a part of itself when it is first used, and a group that is needed
-// would be given away.
+// The first reading is taken when requests are only starting. Smoothing from it over
+// the full window would underestimate the demand when it is first used, and a group
+// that is needed would be converted.
 func (d *demand) update(now time.Time, requests map[string]float64) {
 	if d.requests == nil {
 		d.requests, d.since, d.at = requests, now, now
@@ -44,7 +44,7 @@
 	}
 }
 
-// updateDemand returns the smoothed demand of a zone, nil while it isn't known.
+// updateDemand returns the smoothed demand of a zone, or nil while it is not known yet.
 func (m *Manager) updateDemand(now time.Time, z *Zone, zone string) map[string]float64 {
 	if !m.TrafficStarted() {
 		return nil
@@ -65,13 +65,13 @@
 	}
 	d.update(now, requests)
 	if now.Sub(d.since) < demandWindow {
-		return nil // the first few requests say nothing of the day
+		return nil // the first few requests are not representative
 	}
 	return d.requests
 }
 
-// shares returns each model's part of the VMs: what its requests need, as far as
-// that is known, and its configured share else.
+// shares returns each model's share of the VMs: in proportion to the VMs its requests
+// need if the demand is known, else its configured share.
 func (z *Zone) shares() map[string]float64 {
 	shares, needed := map[string]float64{}, 0.0
 	for _, m := range z.Engine.Models {
@@ -89,7 +89,7 @@
 	return shares
 }
 
-// vmsNeeded is how many VMs the requests for a model fill.
+// vmsNeeded returns how many VMs the requests for a model fill.
 func (z *Zone) vmsNeeded(m fleet.Model) float64 {
 	return z.Demand[m.Name] / float64(max(1, z.Engine.Slots)) * float64(m.Size)
 }
--- a/formation/era_test.go
+++ b/formation/era_test.go
@@ -7,15 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// After the store came back older its versions are low again. Epochs that begin there are
-// below those of earlier orders, which may still be carried out: VMs refuse the new ones, or
-// leave their group for an old one.
+// After the store is restored to an older state, its versions are low again. Epochs
+// derived from the version alone would be lower than those of earlier orders that may
+// still be carried out. VMs would refuse the new orders, or leave their group for an
+// old one.
 func TestEpochsRiseAfterTheStoreWentBack(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		const versions = 1000
 		n.version = versions
-		f.kill(f.whole("small")[0].members[1], true)
-		n.manager.ReportStall(t.Context(), f.whole("small")[0].ID)
+		f.kill(f.servingHeads("small")[0].members[1], true)
+		n.manager.ReportStall(t.Context(), f.servingHeads("small")[0].ID)
 		time.Sleep(20 * time.Second)
 		before := int64(0)
 		for _, w := range f.workers {
--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -14,63 +14,63 @@
 	"redwinghall/platform"
 )
 
-// farm stands in for the endpoints of one zone, in virtual time. They carry out
-// orders, show their state in their entries with a lag, and watch over what
-// must hold of groups.
-type farm struct {
-	mu      sync.Mutex
-	book    *directory.Book
-	workers map[string]*farmWorker
-	ready   map[string]map[string]bool // workers that were ever ready, by group
-	broken  []string                   // what must not happen and did
-	two     []string                   // of that, VMs in two groups
-	joins   int                        // that were taken
-	left    int                        // orders to leave that were taken
-	loads   int
-	reports int   // that were asked for
-	leases  int64 // that were taken
-	random  *rand.Rand
-	// lose is the share of orders that get no answer and are carried out late.
-	lose float64
-	// twice is the share of orders that are carried out once more, late.
-	twice float64
-	// stored are the entries in the store, version the store's newest, and
-	// copies those that nodes have, which lag behind.
-	stored  map[string]*fleet.Endpoint
-	version int64
-	copies  []*follower
-	// taken holds ended workers whose address another one has now.
-	taken map[string]string
-	// closed refuses orders to open.
-	closed bool
+// fakeZone simulates the endpoints of one zone in virtual time. They carry out orders
+// and publish their state in entries after a lag. It also checks the invariants of
+// groups.
+type fakeZone struct {
+	mu            sync.Mutex
+	book          *directory.Book
+	workers       map[string]*fakeEndpoint
+	ready         map[string]map[string]bool // endpoints that were ever ready, by group
+	violations    []string                   // violated invariants
+	doubleMembers []string                   // those in which a VM was in two groups
+	joins         int                        // accepted join orders
+	left          int                        // accepted leave orders
+	loads         int
+	reports       int   // requested reports
+	leases        int64 // acquired leases
+	random        *rand.Rand
+	// lossRate is the share of orders that get no answer and are carried out late.
+	lossRate float64
+	// repeatRate is the share of orders that are carried out a second time, late.
+	repeatRate float64
+	// stored holds the entries in the store, version is the store's newest version, and
+	// followers are the nodes' copies, which lag behind.
+	stored    map[string]*fleet.Endpoint
+	version   int64
+	followers []*follower
+	// replacedBy maps ended endpoints to the one that now has their address.
+	replacedBy map[string]string
+	// refuseOpen makes endpoints refuse orders to open.
+	refuseOpen bool
 	// lag is how long a change takes to show in an entry.
 	lag time.Duration
-	// engine is what the workers run, staged counts the models that they took in
-	// while they served.
+	// engine is what the endpoints run, and staged counts the models that were staged
+	// while serving.
 	engine *fleet.Engine
 	staged int
 }
 
-type farmWorker struct {
+type fakeEndpoint struct {
 	fleet.Endpoint
-	dead, dark bool            // ended; silent
-	unlisted   bool            // its entry is missing, it works on
-	deaf       bool            // it stopped listening and finishes its work
-	ignores    fleet.OrderKind // orders of this kind never arrive
-	slow       float64
-	last       string // model of its last group
-	members    []string
-	highest    int64
-	gen        int
-	opening    bool // was told to open, and doesn't show it yet
+	dead, unresponsive bool            // the process ended; requests to it time out
+	unlisted           bool            // its entry is missing, but it keeps serving
+	notListening       bool            // it stopped listening and finishes its requests
+	ignores            fleet.OrderKind // orders of this kind are lost
+	slow               float64
+	last               string // model of its last group
+	members            []string
+	highest            int64
+	gen                int
+	opening            bool // accepted an order to open, but isn't open yet
 }
 
-const farmService = "llm"
+const testService = "llm"
 
-// lapse is how long an entry outlives its endpoint's last word.
-const lapse = 3600 * time.Millisecond
+// entryTTL is how long an entry outlives its endpoint's last heartbeat.
+const entryTTL = 3600 * time.Millisecond
 
-func farmEngine() *fleet.Engine {
+func defaultEngine() *fleet.Engine {
 	return &fleet.Engine{
 		Slots: 26, Stride: 6, LoadsPerSecond: 5.5, LoadsAtOnce: 8, Formation: 300 * time.Millisecond,
 		Models: []fleet.Model{
@@ -80,21 +80,21 @@
 	}
 }
 
-func newFarm(seed uint64, domains, size int) *farm {
-	return newFarmOf(farmEngine(), seed, domains, size)
+func newFakeZone(seed uint64, domains, size int) *fakeZone {
+	return newFakeZoneWith(defaultEngine(), seed, domains, size)
 }
 
-// newFarmOf returns a farm whose workers run an engine.
-func newFarmOf(engine *fleet.Engine, seed uint64, domains, size int) *farm {
-	f := &farm{
+// newFakeZoneWith returns a fake zone whose endpoints run the given engine.
+func newFakeZoneWith(engine *fleet.Engine, seed uint64, domains, size int) *fakeZone {
+	f := &fakeZone{
 		engine: engine,
-		book:   directory.NewBook(), workers: map[string]*farmWorker{}, ready: map[string]map[string]bool{}, taken: map[string]string{},
+		book:   directory.NewBook(), workers: map[string]*fakeEndpoint{}, ready: map[string]map[string]bool{}, replacedBy: map[string]string{},
 		random: rand.New(rand.NewPCG(seed, 1)), lag: 150 * time.Millisecond,
 		stored: map[string]*fleet.Endpoint{},
 	}
-	f.copies = []*follower{{book: f.book}}
+	f.followers = []*follower{{book: f.book}}
 	f.book.Apply(time.Now(), directory.Change{Config: &fleet.Configuration{
-		Version: 1, Services: map[string]fleet.Service{farmService: {Name: farmService, Engine: engine}},
+		Version: 1, Services: map[string]fleet.Service{testService: {Name: testService, Engine: engine}},
 	}})
 	for d := range domains {
 		for i := range size {
@@ -104,38 +104,38 @@
 	return f
 }
 
-func (f *farm) add(id, domain string) {
-	w := &farmWorker{Endpoint: fleet.Endpoint{
-		ID: id, Service: farmService, Address: id + ":80", Zone: "z", State: fleet.EndpointReady, Domain: domain, Born: 1,
+func (f *fakeZone) add(id, domain string) {
+	w := &fakeEndpoint{Endpoint: fleet.Endpoint{
+		ID: id, Service: testService, Address: id + ":80", Zone: "z", State: fleet.EndpointReady, Domain: domain, Born: 1,
 	}}
 	f.workers[id] = w
 	time.AfterFunc(f.lag, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.show(w)
+		f.publishEntry(w)
 	})
 }
 
-// show writes a worker's entry as it is now, after the lag.
-func (f *farm) show(w *farmWorker) {
+// publishEntry writes an endpoint's present state to its entry, visible after the lag.
+func (f *fakeZone) publishEntry(w *fakeEndpoint) {
 	w.gen++
 	entry := w.Endpoint
 	entry.Revision = int64(w.gen)
 	entry.Staged = append([]string(nil), w.Staged...)
 	entry.Models = append([]string(nil), w.Models...)
-	if w.unlisted || w.dark || w.dead {
+	if w.unlisted || w.unresponsive || w.dead {
 		return
 	}
 	f.stored[w.ID] = &entry
 	f.write(directory.Change{Endpoint: &entry})
 }
 
-// write changes the store. All copies hear of it, in order.
-func (f *farm) write(changes ...directory.Change) {
+// write changes the store. All followers receive the changes in order.
+func (f *fakeZone) write(changes ...directory.Change) {
 	f.version++
 	version := f.version
-	for _, c := range f.copies {
-		if due := time.Now().Add(f.lag + c.behind); due.After(c.due) {
+	for _, c := range f.followers {
+		if due := time.Now().Add(f.lag + c.extraLag); due.After(c.due) {
 			c.due = due
 		}
 		time.AfterFunc(time.Until(c.due), func() {
@@ -145,31 +145,32 @@
 	}
 }
 
-// follower is a holder's copy of the entries, which lags behind.
+// follower is a node's copy of the entries, which lags behind the store.
 type follower struct {
 	book *directory.Book
-	due  time.Time // of the last change that is on its way
-	// behind is how much later than a holder the node reads.
-	behind time.Duration
+	due  time.Time // when the last change in flight arrives
+	// extraLag is the delay on top of a lease holder's.
+	extraLag time.Duration
 }
 
-// follow returns a copy of the entries as they are now, that follows them.
-func (f *farm) follow(behind time.Duration) *follower {
+// follow returns a follower that starts with the present entries.
+func (f *fakeZone) follow(behind time.Duration) *follower {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	c := &follower{book: directory.NewBook(), behind: behind}
+	c := &follower{book: directory.NewBook(), extraLag: behind}
 	c.book.Apply(now, directory.Change{Config: f.book.View().Config()})
 	for _, e := range f.stored {
 		c.book.Apply(now, directory.Change{Endpoint: e})
 	}
 	c.book.NoteRead(fleet.Position{Version: f.version})
-	f.copies = append(f.copies, c)
+	f.followers = append(f.followers, c)
 	return c
 }
 
-// hide takes a worker's entry away, as the store does after three heartbeats.
-func (f *farm) hide(id string, after time.Duration) {
+// removeEntry deletes an endpoint's entry after a delay, as the store does after three
+// missed heartbeats.
+func (f *fakeZone) removeEntry(id string, after time.Duration) {
 	time.AfterFunc(after, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -178,69 +179,71 @@
 	})
 }
 
-// silence cuts a worker off from everybody for a while. It serves on, and its
-// entry lapses if that lasts.
-func (f *farm) silence(id string, lasts time.Duration) {
+// isolate partitions an endpoint from every client and node for a while. It keeps
+// serving, and its entry expires if the partition lasts long enough.
+func (f *fakeZone) isolate(id string, lasts time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
-	w.dark = true
-	if lasts > lapse {
-		f.hide(id, lapse)
+	w.unresponsive = true
+	if lasts > entryTTL {
+		f.removeEntry(id, entryTTL)
 	}
 	time.AfterFunc(lasts, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if !w.dead {
-			w.dark = false
-			f.show(w)
+			w.unresponsive = false
+			f.publishEntry(w)
 		}
 	})
 }
 
-// kill ends a worker: its address refuses connections, or is silent if dark.
-func (f *farm) kill(id string, dark bool) {
+// kill ends an endpoint's process. Requests to its address time out if unresponsive is
+// set, else connections are refused.
+func (f *fakeZone) kill(id string, unresponsive bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.workers[id].dead, f.workers[id].dark, f.workers[id].deaf = true, dark, false
-	f.hide(id, lapse)
+	f.workers[id].dead, f.workers[id].unresponsive, f.workers[id].notListening = true, unresponsive, false
+	f.removeEntry(id, entryTTL)
 }
 
-// cutFromStore lets a worker's entry lapse while it works on.
-func (f *farm) cutFromStore(id string) {
+// cutFromStore partitions an endpoint from the store only: its entry expires while it
+// keeps serving.
+func (f *fakeZone) cutFromStore(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[id].unlisted = true
-	f.hide(id, 3600*time.Millisecond)
+	f.removeEntry(id, 3600*time.Millisecond)
 }
 
-// deafen lets a worker leave while the store is away: it stops listening, its
-// entry stays as it was, and it works on what it has.
-func (f *farm) deafen(id string) {
+// stopListening makes an endpoint leave during a store outage: it stops listening and
+// finishes its requests, and its entry stays unchanged.
+func (f *fakeZone) stopListening(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.workers[id].deaf = true
+	f.workers[id].notListening = true
 }
 
-var errFarm = errors.New("farm")
+var errUnreachable = errors.New("endpoint unreachable")
 
-func (f *farm) reach(e *fleet.Endpoint) (*farmWorker, error) {
+func (f *fakeZone) reach(e *fleet.Endpoint) (*fakeEndpoint, error) {
 	id := e.ID
-	if next, ok := f.taken[id]; ok {
+	if next, ok := f.replacedBy[id]; ok {
 		id = next
 	}
 	w, ok := f.workers[id]
 	switch {
-	case !ok || w.deaf || (w.dead && !w.dark):
-		return nil, redwinghall.NewOpError("farm.reach", platform.Absent, errFarm)
-	case w.dark:
-		return nil, redwinghall.NewOpError("farm.reach", platform.NoAnswer, errFarm)
+	case !ok || w.notListening || (w.dead && !w.unresponsive):
+		return nil, redwinghall.NewOpError("fakeZone.reach", platform.Absent, errUnreachable)
+	case w.unresponsive:
+		return nil, redwinghall.NewOpError("fakeZone.reach", platform.NoAnswer, errUnreachable)
 	}
 	return w, nil
 }
 
 // Order implements fleet.Orderer.
-func (f *farm) Order(_ context.Context, e *fleet.Endpoint, o fleet.Order) (fleet.Outcome, error) {
+func (f *fakeZone) Order(_ context.Context, e *fleet.Endpoint, o fleet.Order) (fleet.Outcome, error) {
 	time.Sleep(3 * time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -251,13 +254,13 @@
 	case err != nil:
 		return fleet.Refused, err
 	case o.Kind == w.ignores:
-		return fleet.Unanswered, redwinghall.NewOpError("farm.Order", platform.NoAnswer, errFarm)
+		return fleet.Unanswered, redwinghall.NewOpError("fakeZone.Order", platform.NoAnswer, errUnreachable)
 	}
-	if f.random.Float64() < f.lose {
+	if f.random.Float64() < f.lossRate {
 		f.carryOutLate(w, o)
-		return fleet.Unanswered, redwinghall.NewOpError("farm.Order", platform.NoAnswer, errFarm)
+		return fleet.Unanswered, redwinghall.NewOpError("fakeZone.Order", platform.NoAnswer, errUnreachable)
 	}
-	if f.twice > 0 && f.random.Float64() < f.twice {
+	if f.repeatRate > 0 && f.random.Float64() < f.repeatRate {
 		f.carryOutLate(w, o)
 	}
 	if o.Kind == fleet.OrderJoin && w.Member.Group == o.Group && w.Member.Epoch == o.Epoch {
@@ -269,11 +272,11 @@
 		}
 		return fleet.Begun, nil
 	}
-	return fleet.Refused, redwinghall.NewOpError("farm.Order", platform.NoAnswer, errFarm)
+	return fleet.Refused, redwinghall.NewOpError("fakeZone.Order", platform.NoAnswer, errUnreachable)
 }
 
-// carryOutLate lets a worker's process carry an order out 2 to 12 s later.
-func (f *farm) carryOutLate(w *farmWorker, o fleet.Order) {
+// carryOutLate makes an endpoint's process carry an order out 2 to 12 s later.
+func (f *fakeZone) carryOutLate(w *fakeEndpoint, o fleet.Order) {
 	late, born := 2*time.Second+time.Duration(f.random.Float64()*10*float64(time.Second)), w.Born
 	time.AfterFunc(late, func() {
 		f.mu.Lock()
@@ -284,7 +287,7 @@
 	})
 }
 
-func (f *farm) carryOut(w *farmWorker, o fleet.Order) bool {
+func (f *fakeZone) carryOut(w *fakeEndpoint, o fleet.Order) bool {
 	switch o.Kind {
 	case fleet.OrderJoin:
 		return f.join(w, o)
@@ -310,16 +313,16 @@
 	case fleet.OrderJoin, fleet.OrderStage:
 	}
 	if done {
-		f.show(w)
+		f.publishEntry(w)
 	}
 	return done
 }
 
-func (f *farm) open(w *farmWorker) bool {
-	if f.closed || w.Member.Rank != 0 || w.Member.State != fleet.Ready {
+func (f *fakeZone) open(w *fakeEndpoint) bool {
+	if f.refuseOpen || w.Member.Rank != 0 || w.Member.State != fleet.Ready {
 		return false
 	}
-	f.checkWhole(w)
+	f.checkMembersReady(w)
 	w.opening = true
 	group := w.Member.Group
 	time.AfterFunc(f.engine.Formation, func() {
@@ -327,15 +330,15 @@
 		defer f.mu.Unlock()
 		if w.opening && w.Member.Group == group && !w.dead {
 			w.Member.State, w.opening = fleet.Open, false
-			f.show(w)
+			f.publishEntry(w)
 		}
 	})
 	return true
 }
 
-// replace lets a worker fall silent for good; later another one starts at its
-// address.
-func (f *farm) replace(id, by string) {
+// replace ends an endpoint whose address then times out; later another one starts at
+// that address.
+func (f *fakeZone) replace(id, by string) {
 	f.kill(id, true)
 	time.AfterFunc(5*time.Second, func() {
 		f.mu.Lock()
@@ -344,13 +347,13 @@
 		f.add(by, old.Domain)
 		f.workers[by].Address = old.Address
 		f.workers[by].Staged = old.Staged
-		f.taken[id] = by
+		f.replacedBy[id] = by
 	})
 }
 
-// restart begins a worker's next life under its id, which knows nothing of the
-// last one. Its entry stays as it was for now.
-func (f *farm) restart(id string) {
+// restart restarts an endpoint's process under its id, without its previous state. Its
+// entry stays unchanged for now.
+func (f *fakeZone) restart(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
@@ -362,14 +365,14 @@
 	w.highest = 0
 }
 
-func (f *farm) join(w *farmWorker, o fleet.Order) bool {
+func (f *fakeZone) join(w *fakeEndpoint, o fleet.Order) bool {
 	if o.Epoch < w.highest {
 		return false
 	}
 	if w.Member.Group == o.Group && w.Member.Epoch == o.Epoch {
-		return true // it holds already
+		return true // already a member
 	}
-	f.checkLeaving(w, o)
+	f.checkOldHead(w, o)
 	f.joins++
 	w.highest = o.Epoch
 	model, _ := f.engine.Model(o.Model)
@@ -390,7 +393,7 @@
 	}
 	w.members, w.last = o.Members, o.Model
 	w.Models = nil
-	f.show(w)
+	f.publishEntry(w)
 	time.AfterFunc(took, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -398,14 +401,14 @@
 			w.Member.State = fleet.Ready
 			f.noteReady(o.Group, w.ID)
 			w.Models, w.Staged = []string{o.Model}, []string{o.Model}
-			f.show(w)
+			f.publishEntry(w)
 		}
 	})
 	return true
 }
 
-// stage lets a worker take a model into its host's memory while it serves.
-func (f *farm) stage(w *farmWorker, o fleet.Order) bool {
+// stage makes an endpoint stage a model in host memory while it serves.
+func (f *fakeZone) stage(w *fakeEndpoint, o fleet.Order) bool {
 	model, known := f.engine.Model(o.Model)
 	if !known || o.Group != "" || o.Epoch != 0 {
 		return false
@@ -417,43 +420,45 @@
 		defer f.mu.Unlock()
 		if !w.dead && w.Born == born {
 			w.Staged = []string{o.Model}
-			f.show(w)
+			f.publishEntry(w)
 		}
 	})
 	return true
 }
 
-func (f *farm) noteReady(group, id string) {
+func (f *fakeZone) noteReady(group, id string) {
 	if f.ready[group] == nil {
 		f.ready[group] = map[string]bool{}
 	}
 	f.ready[group][id] = true
 }
 
-// checkWhole notes a group that opens with a member that was never ready in
-// it. One that was ready and left since may be lost to a late order.
-func (f *farm) checkWhole(head *farmWorker) {
+// checkMembersReady records a violation if a group opens with a member that was never
+// ready in it. One that was ready and has left since may have been removed by a late
+// order.
+func (f *fakeZone) checkMembersReady(head *fakeEndpoint) {
 	for _, id := range head.members {
 		if !f.ready[head.Member.Group][id] {
-			f.broken = append(f.broken, fmt.Sprintf("%s opened while %s was never ready", head.Member.Group, id))
+			f.violations = append(f.violations, fmt.Sprintf("%s opened while %s was never ready", head.Member.Group, id))
 		}
 	}
 }
 
-// checkLeaving notes a member that joins another group while its head is open.
-func (f *farm) checkLeaving(w *farmWorker, o fleet.Order) {
+// checkOldHead records a violation if a member joins another group while the head of
+// its old one is open.
+func (f *fakeZone) checkOldHead(w *fakeEndpoint, o fleet.Order) {
 	if w.Member.Group == "" || w.Member.Group == o.Group || len(w.members) < 2 {
 		return
 	}
 	head := f.workers[w.members[0]]
 	if head != nil && !head.dead && head.Member.Group == w.Member.Group && (head.Member.State == fleet.Open || head.opening) {
-		broke := fmt.Sprintf("%s joined %s while %s was open", w.ID, o.Group, w.Member.Group)
-		f.broken, f.two = append(f.broken, broke), append(f.two, broke)
+		violation := fmt.Sprintf("%s joined %s while %s was open", w.ID, o.Group, w.Member.Group)
+		f.violations, f.doubleMembers = append(f.violations, violation), append(f.doubleMembers, violation)
 	}
 }
 
 // Report implements fleet.Orderer.
-func (f *farm) Report(_ context.Context, e *fleet.Endpoint) (fleet.Report, error) {
+func (f *fakeZone) Report(_ context.Context, e *fleet.Endpoint) (fleet.Report, error) {
 	time.Sleep(2 * time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -466,7 +471,7 @@
 }
 
 // Healthy implements fleet.Orderer.
-func (f *farm) Healthy(_ context.Context, e *fleet.Endpoint, _ string) (bool, error) {
+func (f *fakeZone) Healthy(_ context.Context, e *fleet.Endpoint, _ string) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w, err := f.reach(e)
@@ -476,11 +481,12 @@
 	return w.State == fleet.EndpointReady, nil
 }
 
-// whole returns the open groups of a model whose members all live.
-func (f *farm) whole(model string) []*farmWorker {
+// servingHeads returns the heads of the open groups of a model whose members are all
+// alive.
+func (f *fakeZone) servingHeads(model string) []*fakeEndpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var heads []*farmWorker
+	var heads []*fakeEndpoint
 	for _, w := range f.workers {
 		if w.dead || w.Member.State != fleet.Open || len(w.Models) == 0 || w.Models[0] != model {
 			continue
@@ -497,10 +503,10 @@
 	return heads
 }
 
-// drain lets a worker say that it leaves.
-func (f *farm) drain(id string) {
+// drain makes an endpoint announce that it is leaving.
+func (f *fakeZone) drain(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[id].State = fleet.EndpointDraining
-	f.show(f.workers[id])
+	f.publishEntry(f.workers[id])
 }
--- a/formation/form.go
+++ b/formation/form.go
@@ -8,19 +8,19 @@
 	"redwinghall/fleet"
 )
 
-// proposal is a group that could be formed.
+// proposal is a candidate group.
 type proposal struct {
 	domain  string
 	model   fleet.Model
 	members []*Worker
-	time    time.Duration // until the last member has joined
+	time    time.Duration // until the last member has joined; estimated
 	worth   float64
 }
 
-// form decides what the free workers of each domain are for: the worthiest
-// groups first. A group whose members all have the model at hand is formed at
-// once. For another one, the members that lack the model load it as standbys;
-// the rest stay free meanwhile, so that a member that comes back is of use.
+// form assigns the free workers of each domain to groups, those of the highest worth
+// first. A group whose members all have the model loaded or staged is formed at once.
+// For any other group, the members that lack the model load it as standbys; the rest
+// stay free meanwhile, so that they remain available when a lost member comes back.
 func (p *planner) form() {
 	if p.zone.Startup {
 		p.formFirst()
@@ -41,7 +41,7 @@
 	}
 }
 
-// formFirst joins the first groups, while every VM may still serve any model.
+// formFirst forms the first groups, while every VM can still serve any model.
 func (p *planner) formFirst() {
 	sizes := map[string]int{}
 	for domain, free := range p.free {
@@ -60,10 +60,11 @@
 	}
 }
 
-// allHaveModel reports whether all members have the model, and none is loading.
-func (n *proposal) allHaveModel() bool {
-	for _, w := range n.members {
-		if w.loading != "" || w.needsLoad(n.model) {
+// allHaveModel reports whether all members have the model loaded or staged and none is
+// loading one.
+func (p *proposal) allHaveModel() bool {
+	for _, w := range p.members {
+		if w.loading != "" || w.needsLoad(p.model) {
 			return false
 		}
 	}
@@ -83,9 +84,9 @@
 	return best
 }
 
-// propose returns the group of a model that a domain's free workers could
-// form, with its worth: what its workers add to the even supply of all models,
-// for each worker, less the longer it takes.
+// propose returns the group of a model that a domain's free workers could form. Its
+// worth is the gain in balanced supply over all models per worker, reduced by the time
+// that forming the group takes.
 func (p *planner) propose(domain string, model fleet.Model) *proposal {
 	free := p.free[domain]
 	if len(free) < model.Size || model.Share <= 0 {
@@ -109,13 +110,15 @@
 	return next
 }
 
-// listedFirst puts the workers that requests may go to first, as the first is the head.
+// listedFirst moves workers that have a directory entry to the front: the first member
+// becomes the head, and requests are only routed to listed endpoints.
 func listedFirst(workers []*Worker) []*Worker {
 	sort.SliceStable(workers, func(i, j int) bool { return !workers[i].Unlisted && workers[j].Unlisted })
 	return workers
 }
 
-// cost orders the workers for a group: those that join soonest, and slow ones last.
+// cost ranks the workers for a group: those that can join soonest first, slow ones
+// last.
 func (p *planner) cost(w *Worker, model fleet.Model) time.Duration {
 	cost := w.joinTime(model, p.now)
 	if w.Slow {
@@ -142,12 +145,12 @@
 	}
 }
 
-// load lets the members of a planned group that lack its model load it.
+// load makes the members of a proposed group that lack its model load it.
 //
-// Guard: VMs that crash come back after some seconds, with their model in the
-// host's memory. If those that are left were loaded with another model at
-// once, the group that they were would be gone for a load's time. So when most
-// members would have to change, they wait a while first.
+// VMs that crash come back after some seconds with their model still in host memory. If
+// the remaining members loaded another model at once, their old group would be
+// unavailable for a whole load. So when most members would have to change their model,
+// they wait for reloadDelay first.
 func (p *planner) load(next *proposal) {
 	var cold []*Worker
 	for _, w := range next.members {
@@ -155,19 +158,19 @@
 			cold = append(cold, w)
 		}
 	}
-	patience := loadDelay
+	delay := loadDelay
 	if 2*len(cold) > next.model.Size {
-		patience = reloadDelay
+		delay = reloadDelay
 	}
 	for _, w := range cold {
-		if p.freeFor(w, patience) {
+		if p.freeFor(w, delay) {
 			p.loadStandby(w, next.model, "load_for_group")
 		}
 	}
 }
 
-func (p *planner) freeFor(w *Worker, patience time.Duration) bool {
-	return !w.FreeSince.IsZero() && p.now.Sub(w.FreeSince) >= patience
+func (p *planner) freeFor(w *Worker, delay time.Duration) bool {
+	return !w.FreeSince.IsZero() && p.now.Sub(w.FreeSince) >= delay
 }
 
 func without(all, taken []*Worker) []*Worker {
--- a/formation/gather.go
+++ b/formation/gather.go
@@ -8,18 +8,18 @@
 	"redwinghall/fleet"
 )
 
-// closeTime is how long a group that is taken apart needs for its last streams,
-// as far as it counts against gathering.
+// closeTime is the estimated time that a dismantled group needs to finish its streams,
+// as counted against rebuilding another group from its members.
 const closeTime = 2 * time.Second
 
-// gather makes groups whole again with the members of smaller models' groups
-// that have the larger model in their hosts' memory.
+// gather completes groups that lost members with the members of smaller models' groups
+// that have the larger model staged in host memory.
 //
-// Guard: a group of a large model that loses members for good leaves too few
-// VMs in its domain. What is left goes to small groups, and the large model
-// dies out, one loss after the other, while the small ones have more groups than
-// they need. A group of a small model that is taken apart costs its own places;
-// the large group is there again without a load.
+// A group of a large model that permanently loses members leaves too few VMs in its
+// domain to form it again. The remaining VMs would go to small groups, and over several
+// losses the large model would lose all its groups while the small models have more
+// than they need. Dismantling a small group only costs that group's own slots, and the
+// large group is back without a load.
 func (p *planner) gather() {
 	if p.zone.Startup {
 		return
@@ -35,9 +35,9 @@
 	}
 }
 
-// rebuildGroup gathers what the rest of a group of a model lacks, and joins the
-// group once all members are there. A rest of less than half of it, and of a
-// group that would be given to another model, is left to other uses.
+// rebuildGroup obtains the members that an incomplete group of a model lacks, and forms
+// the group once all of them are free. It does nothing if fewer than half of the
+// members remain, or if the group would be converted to another model right away.
 func (p *planner) rebuildGroup(domain string, model fleet.Model) {
 	rest := p.freeWithModel(domain, model)
 	if 2*len(rest) < model.Size || p.wouldConvert(model) {
@@ -47,7 +47,7 @@
 	if missing > 0 && !p.dismantleDonors(domain, model, missing, 0) {
 		return
 	}
-	rest = p.freeWithModel(domain, model) // groups that weren't open are free at once
+	rest = p.freeWithModel(domain, model) // members of groups that were not open are free at once
 	if len(rest) >= model.Size {
 		p.joinRebuilt(domain, model, rest[:model.Size])
 		return
@@ -55,7 +55,7 @@
 	p.hold(domain, rest)
 }
 
-// joinRebuilt joins a group some of whose members served another model, unless
+// joinRebuilt forms a group from workers some of which served another model, unless
 // they are worth more there.
 func (p *planner) joinRebuilt(domain string, model fleet.Model, rest []*Worker) {
 	given := map[string]int{}
@@ -76,7 +76,8 @@
 	p.join(next)
 }
 
-// replaceLeaving gathers replacements for members of a group that say that they leave.
+// replaceLeaving obtains replacements for group members that announced that they are
+// leaving.
 func (p *planner) replaceLeaving(domain string, model fleet.Model) {
 	leaving := 0
 	for _, g := range p.draining {
@@ -93,9 +94,9 @@
 	}
 }
 
-// dismantleDonors closes groups of a domain so that their members can join one of a larger
-// model. It reports whether it found enough that are worth less where they are.
-// about is how many VMs of the model will be lost otherwise.
+// dismantleDonors closes groups of a domain so that their members can join a group of a
+// larger model. It reports whether it found enough groups that are worth less as they
+// are. about is the number of VMs that the model would lose otherwise.
 func (p *planner) dismantleDonors(domain string, model fleet.Model, missing, about int) bool {
 	var chosen []*group
 	given := map[string]int{}
@@ -119,7 +120,7 @@
 	return true
 }
 
-// dismantle ends a group, after its streams if it serves.
+// dismantle ends a group; if it is open, its streams finish first.
 func (p *planner) dismantle(g *group, why string) {
 	p.dismantled[g.name] = true
 	if g.head().Member.State != fleet.Open {
@@ -130,9 +131,9 @@
 	p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch}, why)
 }
 
-// worthDismantling reports whether one more group of a model adds more to the even
-// supply of all models than the VMs add that are given for it. Those that are
-// out of service already are counted back in.
+// worthDismantling reports whether one more group of a model adds more to the balanced
+// supply than the VMs in given contribute to their present models. The VMs in out no
+// longer count as serving and are added back.
 func (p *planner) worthDismantling(model fleet.Model, given, out map[string]int) bool {
 	loss := 0.0
 	for _, m := range p.zone.Engine.Models {
@@ -147,14 +148,15 @@
 	return gain/(1+wait.Seconds()/switchTime.Seconds()) > loss
 }
 
-// supply is what a number of VMs that serve a model are worth to the even supply.
+// supply returns the contribution of a number of VMs serving a model to the balanced
+// supply: its share times the logarithm of that number.
 func (p *planner) supply(m fleet.Model, vms int) float64 {
 	return p.shares[m.Name] * math.Log(max(float64(vms), 0.5))
 }
 
-// donors returns the groups of a domain that may be taken apart for a larger
-// model: all their members have it in the host's memory. Those that aren't open
-// come first.
+// donors returns the groups of a domain that may be dismantled for a larger model:
+// those whose members all have it staged in host memory. Groups that are not open come
+// first.
 func (p *planner) donors(domain string, model fleet.Model) []*group {
 	var donors []*group
 	for _, g := range append(append([]*group(nil), p.openable...), p.openGroups...) {
@@ -165,7 +167,8 @@
 	return donors
 }
 
-// closingDonors counts the members of groups that close and may join one of a model then.
+// closingDonors counts the members of closing groups that may join a group of a model
+// afterwards.
 func (p *planner) closingDonors(domain string, model fleet.Model) int {
 	n := 0
 	for _, g := range p.closingGroups {
@@ -176,8 +179,7 @@
 	return n
 }
 
-// canDonate reports whether a group of a domain is fit to be taken apart for a
-// larger model.
+// canDonate reports whether a group of a domain may be dismantled for a larger model.
 func (p *planner) canDonate(g *group, domain string, model fleet.Model) bool {
 	if g.model.Size >= model.Size || g.head().Endpoint.Domain != domain || !g.complete() || g.unfit() > 0 {
 		return false
@@ -190,8 +192,8 @@
 	return p.hasStaged(g, model)
 }
 
-// freeWithModel returns the free workers of a domain that have a model at hand, those
-// whose last group had it first.
+// freeWithModel returns the free workers of a domain that have a model loaded or
+// staged, those whose last group served it first.
 func (p *planner) freeWithModel(domain string, model fleet.Model) []*Worker {
 	var all []*Worker
 	for _, w := range without(p.free[domain], p.held[domain]) {
@@ -203,12 +205,12 @@
 	return all
 }
 
-// hold keeps free workers out of other uses while more are gathered.
+// hold reserves free workers while the other members of their group are obtained.
 func (p *planner) hold(domain string, workers []*Worker) {
 	p.held[domain] = append(p.held[domain], workers...)
 }
 
-// largestFirst returns the models by the size of their groups.
+// largestFirst returns the models ordered by group size, largest first.
 func (p *planner) largestFirst() []fleet.Model {
 	models := append([]fleet.Model(nil), p.zone.Engine.Models...)
 	sort.SliceStable(models, func(i, j int) bool { return models[i].Size > models[j].Size })
--- a/formation/gather_test.go
+++ b/formation/gather_test.go
@@ -13,8 +13,8 @@
 	"redwinghall/fleet"
 )
 
-// pairsEngine serves a model of eight VMs beside one of two, as many small groups
-// as fill a domain.
+// pairsEngine serves a model of eight VMs and one of two, so that small groups fill the
+// rest of a domain.
 func pairsEngine() *fleet.Engine {
 	return &fleet.Engine{
 		Slots: 20, Stride: 6, LoadsPerSecond: 14, LoadsAtOnce: 20, Formation: 300 * time.Millisecond,
@@ -25,26 +25,26 @@
 	}
 }
 
-// playPairs runs a test over three full domains of eighteen that have formed their groups.
-func playPairs(t *testing.T, run func(t *testing.T, f *farm, n *node)) {
+// runPairs runs a test on three full domains of eighteen that have formed their groups.
+func runPairs(t *testing.T, run func(t *testing.T, f *fakeZone, n *node)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFarmOf(pairsEngine(), 1, 3, 18)
+		f := newFakeZoneWith(pairsEngine(), 1, 3, 18)
 		n := manage(f, true)
 		defer n.stop(t)
 		time.Sleep(60 * time.Second)
 		n.begun = true
-		require.Len(t, f.whole("large"), 3)
-		require.Len(t, f.whole("small"), 15)
+		require.Len(t, f.servingHeads("large"), 3)
+		require.Len(t, f.servingHeads("small"), 15)
 		run(t, f, n)
-		require.Empty(t, f.broken)
+		require.Empty(t, f.violations)
 	})
 }
 
-// loseTwo lets two members of a group of the large model fall silent for good, as
-// its callers notice after a while.
-func loseTwo(f *farm, n *node, which int) {
-	heads := f.whole("large")
+// failTwoMembers makes two members of a group of the large model permanently
+// unresponsive, and reports the stall after a while, as callers notice it.
+func failTwoMembers(f *fakeZone, n *node, which int) {
+	heads := f.servingHeads("large")
 	sort.Slice(heads, func(i, j int) bool { return heads[i].Domain < heads[j].Domain })
 	w := heads[which]
 	f.kill(w.members[2], true)
@@ -53,66 +53,67 @@
 	n.manager.ReportStall(context.Background(), w.ID)
 }
 
-// A large group that loses members in a full domain is whole again without a
-// load, with the members of a small group that had its model at hand.
+// A large group that loses members in a full domain is rebuilt without a load, from the
+// members of a small group that had staged its model.
 func TestLargeGroupIsMadeWholeBySmallOnes(t *testing.T) {
-	playPairs(t, func(t *testing.T, f *farm, n *node) {
+	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 		loads := f.loads
-		loseTwo(f, n, 0)
+		failTwoMembers(f, n, 0)
 		time.Sleep(5 * time.Second)
-		require.Len(t, f.whole("large"), 3)
-		require.Len(t, f.whole("small"), 14)
+		require.Len(t, f.servingHeads("large"), 3)
+		require.Len(t, f.servingHeads("small"), 14)
 		require.Equal(t, loads, f.loads)
 	})
 }
 
 // A zone that loses two members of a large group every 9 s keeps its large groups:
-// after each loss the next small group takes the model into its hosts' memory.
+// after each loss the next small group stages the model.
 func TestLargeModelOutlastsLosses(t *testing.T) {
-	playPairs(t, func(t *testing.T, f *farm, n *node) {
+	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 		for i := range 6 {
-			loseTwo(f, n, i%3)
+			failTwoMembers(f, n, i%3)
 			for range 83 {
 				time.Sleep(100 * time.Millisecond)
-				require.GreaterOrEqual(t, len(f.whole("large")), 2)
+				require.GreaterOrEqual(t, len(f.servingHeads("large")), 2)
 			}
-			require.Len(t, f.whole("large"), 3)
+			require.Len(t, f.servingHeads("large"), 3)
 		}
 	})
 }
 
-// A member of a large group that leaves is replaced from a small group before it goes.
+// A leaving member of a large group is replaced from a small group before it leaves.
 func TestLeavingMemberIsReplacedBySmallGroup(t *testing.T) {
-	playPairs(t, func(t *testing.T, f *farm, n *node) {
-		w := f.whole("large")[0]
+	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
+		w := f.servingHeads("large")[0]
 		f.drain(w.members[3])
 		time.Sleep(6 * time.Second)
-		require.Len(t, f.whole("large"), 3)
+		require.Len(t, f.servingHeads("large"), 3)
 	})
 }
 
-// Losses of small groups leave the large ones as they are: nothing is taken apart.
+// Losses of small groups dismantle no large group.
 func TestSmallGroupsTakeNothingApart(t *testing.T) {
-	playPairs(t, func(t *testing.T, f *farm, n *node) {
-		w := f.whole("small")[0]
+	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
+		w := f.servingHeads("small")[0]
 		f.kill(w.members[1], true)
 		time.Sleep(700 * time.Millisecond)
 		n.manager.ReportStall(context.Background(), w.ID)
 		time.Sleep(6 * time.Second)
-		require.Len(t, f.whole("large"), 3)
-		require.Len(t, f.whole("small"), 14)
+		require.Len(t, f.servingHeads("large"), 3)
+		require.Len(t, f.servingHeads("small"), 14)
 	})
 }
 
-// Random losses, cuts and late orders while the demand moves: groups are taken
-// apart and given away, and none opens without its members or loses one while it serves.
+// Random failures, partitions and late orders while the demand changes: groups are
+// dismantled and converted, but none opens without its members or loses one while it
+// serves.
 func TestRandomTroubleWhileGroupsAreTakenApart(t *testing.T) {
 	for seed := range uint64(15) {
-		playPairs(t, func(t *testing.T, f *farm, n *node) {
+		runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 			f.random = rand.New(rand.NewPCG(seed, 2))
 			for range 20 {
-				askEvenly(f, n, map[string]int{"large": f.random.IntN(60), "small": f.random.IntN(300)})
-				f.trouble(n)
+				setDemand(f, n, map[string]int{"large": f.random.IntN(60), "small": f.random.IntN(300)})
+				f.injectRandomFault(n)
 				time.Sleep(time.Duration(f.random.IntN(4000)) * time.Millisecond)
 			}
 			time.Sleep(30 * time.Second)
@@ -120,8 +121,8 @@
 	}
 }
 
-// Loads in advance don't hold up what groups wait for: however many domains a zone
-// has, only a few VMs take a model in at the same time.
+// Staging must not delay the loads that groups wait for: however many domains a zone
+// has, only a few VMs stage a model at the same time.
 func TestFewTakeAModelInAtOnce(t *testing.T) {
 	zone := pairsZone()
 	zone.Loads, zone.StageAtOnce = 100, 3
--- a/formation/group.go
+++ b/formation/group.go
@@ -6,7 +6,7 @@
 	"redwinghall/fleet"
 )
 
-// group is the members of one group that were seen.
+// group holds the known members of one group.
 type group struct {
 	name    string
 	epoch   int64
@@ -18,22 +18,23 @@
 
 func (g *group) head() *Worker { return g.byRank[0] }
 
-// headReachable reports whether the head is there and answers, as far as known.
+// headReachable reports whether the head is known and not known to be unresponsive.
 func (g *group) headReachable() bool {
 	head := g.head()
 	return head != nil && !head.Suspect && !head.Silent
 }
 
-// evidence returns how the group's members stand to it.
+// evidence returns what is known about whether the group still serves. The caller adds
+// the fields of a single member.
 func (g *group) evidence(z *Zone) Evidence {
-	s := Evidence{Standby: g.standby, History: z.History(g.name)}
+	e := Evidence{Standby: g.standby, History: z.History(g.name)}
 	if head := g.head(); head != nil {
-		s.Head, s.HeadSince = head.Endpoint.Member, head.ReportedAt
+		e.Head, e.HeadSince = head.Endpoint.Member, head.ReportedAt
 	}
-	return s
+	return e
 }
 
-// complete reports whether every member is there, and usable.
+// complete reports whether every member is known and usable.
 func (g *group) complete() bool {
 	for rank := range g.size() {
 		w := g.byRank[rank]
@@ -51,8 +52,8 @@
 	return g.model.Size
 }
 
-// hasLostMember reports whether a member is gone or doesn't answer, as against one that
-// only says that it leaves.
+// hasLostMember reports whether a member is gone or doesn't answer. A member that only
+// announced that it is leaving doesn't count.
 func (g *group) hasLostMember() bool {
 	for rank := range g.size() {
 		if w := g.byRank[rank]; w == nil || w.Suspect || w.Silent {
@@ -62,8 +63,8 @@
 	return false
 }
 
-// onlySilent reports whether all that is wrong is that members without an
-// entry don't answer this node.
+// onlySilent reports whether the only problem is that members without a directory entry
+// don't answer this node.
 func (g *group) onlySilent() bool {
 	for rank := range g.size() {
 		if w := g.byRank[rank]; w == nil || w.Suspect || (!w.Silent && !w.usable()) {
@@ -73,7 +74,7 @@
 	return g.known
 }
 
-// endpoints returns the members of a whole group in the order of their ranks.
+// endpoints returns the members of a complete group in rank order.
 func (g *group) endpoints() []*fleet.Endpoint {
 	all := make([]*fleet.Endpoint, 0, g.size())
 	for rank := range g.size() {
@@ -82,7 +83,7 @@
 	return all
 }
 
-// slow reports whether a member holds the whole group up.
+// slow reports whether a member slows down the whole group.
 func (g *group) slow() bool {
 	for _, w := range g.byRank {
 		if w.Slow {
@@ -92,7 +93,7 @@
 	return false
 }
 
-// unfit counts the members that hold the group up or are about to leave it.
+// unfit counts the members that are slow or about to leave the group.
 func (g *group) unfit() int {
 	n := 0
 	for _, w := range g.byRank {
@@ -103,7 +104,7 @@
 	return n
 }
 
-// leaving counts the members that said that they leave.
+// leaving counts the members that announced that they are leaving.
 func (g *group) leaving() int {
 	n := 0
 	for _, w := range g.byRank {
@@ -114,8 +115,8 @@
 	return n
 }
 
-// ready reports whether every member itself said that it is ready, under this
-// name and epoch.
+// ready reports whether every member's own entry says that it is ready under the
+// group's name and epoch.
 func (g *group) ready() bool {
 	for rank := range g.size() {
 		w := g.byRank[rank]
@@ -126,7 +127,7 @@
 	return true
 }
 
-// groups gathers workers by the group that they belong to, in order of name.
+// groups collects the workers by group, sorted by group name.
 func (z *Zone) groups() []*group {
 	byName := map[string]*group{}
 	for _, w := range z.Workers {
--- a/formation/handover_test.go
+++ b/formation/handover_test.go
@@ -10,9 +10,9 @@
 	"redwinghall/fleet"
 )
 
-// withOlderCopy gives the farm a book in which nobody belongs to a group, read up to a
-// position. It returns the one that it had, and that one.
-func (f *farm) withOlderCopy(at fleet.Position) (current, older *directory.Book) {
+// withOlderCopy replaces the fake zone's book by one in which no endpoint belongs to a
+// group, read up to a position. It returns the previous book and the new one.
+func (f *fakeZone) withOlderCopy(at fleet.Position) (current, older *directory.Book) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	current, older = f.book, directory.NewBook()
@@ -27,12 +27,11 @@
 	return current, older
 }
 
-// Callers' streams stand still right after a node was stopped. The old holder
-// had opened a group and given the lease up; the new one's copy of the entries
-// was older than that. It saw the members without a group and joined them to
-// others while their head served.
+// Streams stalled right after a node was stopped. The old holder had opened a group and
+// given up the lease, and the new holder's copy of the entries was older than that. It
+// saw the members without a group and joined them to others while their head served.
 func TestNewHolderWaitsForTheEntriesOfItsTime(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		n.holds = false
 		current, old := f.withOlderCopy(fleet.Position{Version: 99})
 		next := manage(f, false)
@@ -40,23 +39,23 @@
 		next.begun, next.heldFrom = true, fleet.Position{Version: 100}
 		time.Sleep(10 * time.Second)
 		f.mu.Lock()
-		require.Empty(t, f.broken)
+		require.Empty(t, f.violations)
 		f.mu.Unlock()
-		require.True(t, next.manager.Pending(), "its node reads the entries sooner")
+		require.True(t, next.manager.Pending(), "a pending manager makes its node read the entries sooner")
 		for _, e := range current.View().Endpoints {
 			old.Apply(time.Now(), directory.Change{Endpoint: e})
 		}
 		old.NoteRead(fleet.Position{Version: 100})
 		time.Sleep(10 * time.Second)
-		require.Len(t, f.whole("large"), 2)
-		require.Len(t, f.whole("small"), 2)
+		require.Len(t, f.servingHeads("large"), 2)
+		require.Len(t, f.servingHeads("small"), 2)
 	})
 }
 
-// The store comes back from a copy in which the members of an open group belong to none. Who
-// holds the lease then waits until they have written again.
+// The store is restored from a copy in which the members of an open group belong to no
+// group. The lease holder must wait until they have written their entries again.
 func TestHolderWaitsUntilAReturnedStoreIsSettled(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		n.holds = false
 		current, restored := f.withOlderCopy(fleet.Position{Era: 1, Version: 50})
 		next := manage(f, false)
@@ -64,22 +63,22 @@
 		next.begun, next.unsettled, next.heldFrom = true, true, fleet.Position{Era: 1, Version: 40}
 		time.Sleep(4 * time.Second)
 		f.mu.Lock()
-		require.Empty(t, f.broken)
+		require.Empty(t, f.violations)
 		f.mu.Unlock()
 		for _, e := range current.View().Endpoints {
 			restored.Apply(time.Now(), directory.Change{Endpoint: e})
 		}
 		next.unsettled = false
 		time.Sleep(10 * time.Second)
-		require.Len(t, f.whole("large"), 2)
-		require.Len(t, f.whole("small"), 2)
+		require.Len(t, f.servingHeads("large"), 2)
+		require.Len(t, f.servingHeads("small"), 2)
 	})
 }
 
-// Entries come while the holder is about to plan: by the time of its check it has read up to
-// its lease, and goes on by a view that it took before.
+// Entries arrive while the holder is about to plan. Its check finds that it has read up
+// to its lease position, but it would plan from a view taken before the check.
 func TestHolderPlansByWhatItChecked(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		n.holds = false
 		current, old := f.withOlderCopy(fleet.Position{Version: 99})
 		next := manage(f, false)
@@ -93,7 +92,7 @@
 			next.onHolds = nil
 		}
 		time.Sleep(10 * time.Second)
-		require.Len(t, f.whole("large"), 2)
-		require.Len(t, f.whole("small"), 2)
+		require.Len(t, f.servingHeads("large"), 2)
+		require.Len(t, f.servingHeads("small"), 2)
 	})
 }
--- a/formation/joining_test.go
+++ b/formation/joining_test.go
@@ -19,45 +19,45 @@
 	_ "redwinghall/rwhtest/fixedseed"
 )
 
-// link is how one holder reaches the farm's endpoints.
+// link is one holder's connection to the fake endpoints.
 type link struct {
-	farm *farm
-	// frozen is until when the holder stands still: what it had decided before,
-	// it does when it wakes.
+	zone *fakeZone
+	// frozen is until when the holder's process is frozen. Orders that it had already
+	// decided on are sent when it resumes.
 	frozen time.Time
-	// cut holds until when it doesn't reach an endpoint, and deaf the endpoints
-	// of which it gets no answers although its orders arrive.
-	cut  map[string]time.Time
-	deaf map[string]time.Time
+	// unreachable holds until when the holder can't reach an endpoint, and noAnswers
+	// until when it gets no answers from one although its orders arrive.
+	unreachable map[string]time.Time
+	noAnswers   map[string]time.Time
 }
 
-func newLink(f *farm) *link {
-	return &link{farm: f, cut: map[string]time.Time{}, deaf: map[string]time.Time{}}
+func newLink(f *fakeZone) *link {
+	return &link{zone: f, unreachable: map[string]time.Time{}, noAnswers: map[string]time.Time{}}
 }
 
-var errLink = redwinghall.NewOpError("link", platform.NoAnswer, errFarm)
+var errLink = redwinghall.NewOpError("link", platform.NoAnswer, errUnreachable)
 
-// pass waits while the holder is frozen, and reports whether an endpoint is
+// state waits while the holder is frozen, and reports whether an endpoint can be
 // reached and whether its answers come back.
-func (l *link) pass(id string) (reached, answers bool) {
-	l.farm.mu.Lock()
+func (l *link) state(id string) (reached, answers bool) {
+	l.zone.mu.Lock()
 	wake := l.frozen
-	l.farm.mu.Unlock()
+	l.zone.mu.Unlock()
 	time.Sleep(time.Until(wake))
-	l.farm.mu.Lock()
-	defer l.farm.mu.Unlock()
+	l.zone.mu.Lock()
+	defer l.zone.mu.Unlock()
 	now := time.Now()
-	return !now.Before(l.cut[id]), !now.Before(l.deaf[id])
+	return !now.Before(l.unreachable[id]), !now.Before(l.noAnswers[id])
 }
 
 // Order implements fleet.Orderer.
 func (l *link) Order(ctx context.Context, e *fleet.Endpoint, o fleet.Order) (fleet.Outcome, error) {
-	reached, answers := l.pass(e.ID)
+	reached, answers := l.state(e.ID)
 	if !reached {
 		time.Sleep(700 * time.Millisecond)
 		return fleet.Unanswered, errLink
 	}
-	outcome, err := l.farm.Order(ctx, e, o)
+	outcome, err := l.zone.Order(ctx, e, o)
 	if !answers {
 		return fleet.Unanswered, errLink
 	}
@@ -66,59 +66,59 @@
 
 // Report implements fleet.Orderer.
 func (l *link) Report(ctx context.Context, e *fleet.Endpoint) (fleet.Report, error) {
-	reached, answers := l.pass(e.ID)
+	reached, answers := l.state(e.ID)
 	if !reached || !answers {
 		time.Sleep(300 * time.Millisecond)
 		return fleet.Report{}, errLink
 	}
-	return l.farm.Report(ctx, e)
+	return l.zone.Report(ctx, e)
 }
 
 // Healthy implements fleet.Orderer.
 func (l *link) Healthy(ctx context.Context, e *fleet.Endpoint, path string) (bool, error) {
-	reached, answers := l.pass(e.ID)
+	reached, answers := l.state(e.ID)
 	if !reached || !answers {
 		time.Sleep(300 * time.Millisecond)
 		return false, errLink
 	}
-	return l.farm.Healthy(ctx, e, path)
+	return l.zone.Healthy(ctx, e, path)
 }
 
-// kinds of trouble that a case is made of.
+// Kinds of faults that a case is made of.
 const (
-	troubleCrash    = "crash"    // its address refuses connections
-	troubleDark     = "dark"     // it ends, and its address is silent
-	troubleLeave    = "leave"    // it stops listening, works on, and ends
-	troubleSilent   = "silent"   // nobody reaches it for a while; it serves on
-	troubleCut      = "cut"      // the holder doesn't reach it for a while
-	troubleOneWay   = "one_way"  // its answers don't reach the holder for a while
-	troubleStore    = "store"    // its entry lapses; it serves on
-	troubleRestart  = "restart"  // it starts again under its id
-	troubleSlow     = "slow"     // it works slowly
-	troubleOrders   = "orders"   // orders are lost, late and twice for a while
-	troubleEntries  = "entries"  // entries reach the nodes late for a while
-	troubleHandOver = "hand"     // the holder gives the lease up
-	troubleKill     = "kill"     // the holder ends, and another takes the lease
-	troubleFreeze   = "freeze"   // the holder freezes, and another takes the lease
-	troubleBack     = "lease_on" // the holder loses the lease and takes it again
-	troubleNone     = "none"
+	faultCrash         = "crash"    // its address refuses connections
+	faultUnresponsive  = "dark"     // it ends, and requests to its address time out
+	faultLeave         = "leave"    // it stops listening, finishes its requests, and ends
+	faultIsolated      = "silent"   // it is partitioned from everything for a while, and keeps serving
+	faultUnreachable   = "cut"      // the holder can't reach it for a while
+	faultNoAnswers     = "one_way"  // its answers don't reach the holder for a while
+	faultStore         = "store"    // its entry expires, and it keeps serving
+	faultRestart       = "restart"  // it restarts under its id
+	faultSlow          = "slow"     // it works slowly
+	faultOrders        = "orders"   // orders are lost, delayed and repeated for a while
+	faultEntries       = "entries"  // entries reach the nodes late for a while
+	faultHandOver      = "hand"     // the holder gives up the lease
+	faultKill          = "kill"     // the holder ends, and another one acquires the lease
+	faultFreeze        = "freeze"   // the holder freezes, and another one acquires the lease
+	faultLeaseRegained = "lease_on" // the holder loses the lease and reacquires it
+	faultNone          = "none"
 )
 
-// trouble is one event of a case.
-type trouble struct {
+// fault is one event of a case.
+type fault struct {
 	Kind  string
-	VM    int           // which one, of those in groups first
-	After time.Duration // since the last event
+	VM    int           // index of the endpoint, in the order of target
+	After time.Duration // delay since the last event
 	Lasts time.Duration
 	Share float64
 }
 
-func troubles() *rapid.Generator[[]trouble] {
-	one := rapid.Custom(func(t *rapid.T) trouble {
-		return trouble{
+func faults() *rapid.Generator[[]fault] {
+	one := rapid.Custom(func(t *rapid.T) fault {
+		return fault{
 			Kind: rapid.SampledFrom([]string{
-				troubleNone, troubleCrash, troubleDark, troubleLeave, troubleLeave, troubleSilent, troubleCut, troubleOneWay, troubleStore,
-				troubleRestart, troubleSlow, troubleOrders, troubleEntries, troubleHandOver, troubleKill, troubleFreeze, troubleBack,
+				faultNone, faultCrash, faultUnresponsive, faultLeave, faultLeave, faultIsolated, faultUnreachable, faultNoAnswers, faultStore,
+				faultRestart, faultSlow, faultOrders, faultEntries, faultHandOver, faultKill, faultFreeze, faultLeaseRegained,
 			}).Draw(t, "kind"),
 			VM:    rapid.IntRange(0, 8).Draw(t, "vm"),
 			After: time.Duration(rapid.IntRange(0, 40).Draw(t, "after")) * 50 * time.Millisecond,
@@ -129,74 +129,75 @@
 	return rapid.SliceOfN(one, 1, 12)
 }
 
-// joining plays a case: holders that follow each other over one domain.
-type joining struct {
-	settle time.Duration  // until the first groups are formed
-	asked  map[string]int // requests at each group of a model
+// scenario runs a case: consecutive lease holders over the same endpoints.
+type scenario struct {
+	settle time.Duration  // time to form the first groups
+	demand map[string]int // requests in each group of a model
 	t      *testing.T
-	farm   *farm
+	zone   *fakeZone
 	holder *node
 	link   *link
 	stops  []func()
-	seen   *seenCases
-	next   *follower // the copy that the next holder has
+	counts *caseCounts
+	next   *follower // the next holder's copy of the entries
 }
 
-// copyBehind is how much less often a node reads the entries that is no holder.
-const copyBehind = 800 * time.Millisecond
+// followerLag is how much later a node that isn't the holder reads the entries.
+const followerLag = 800 * time.Millisecond
 
-// seenCases counts what the cases brought about.
-type seenCases struct {
+// caseCounts counts what happened in the cases.
+type caseCounts struct {
 	cases, events, holders, joins, left, staged atomic.Int64
 }
 
-func (j *joining) hold(fresh bool) {
-	j.link = newLink(j.farm)
-	j.farm.mu.Lock()
-	j.farm.write()
-	version := j.farm.version
-	j.next.behind = 0 // a holder reads more often
-	j.farm.mu.Unlock()
-	n := manageBy(j.farm, fresh, j.link, j.next.book)
-	j.next = j.farm.follow(copyBehind)
+func (j *scenario) startHolder(fresh bool) {
+	j.link = newLink(j.zone)
+	j.zone.mu.Lock()
+	j.zone.write()
+	version := j.zone.version
+	j.next.extraLag = 0 // a holder reads the entries more often
+	j.zone.mu.Unlock()
+	n := manageBy(j.zone, fresh, j.link, j.next.book)
+	j.next = j.zone.follow(followerLag)
 	n.heldFrom = fleet.Position{Version: version}
 	n.begun = !fresh
-	n.asked.Store(&j.asked)
+	n.demand.Store(&j.demand)
 	j.holder = n
 	j.stops = append(j.stops, func() { n.stop(j.t) })
-	j.seen.holders.Add(1)
+	j.counts.holders.Add(1)
 }
 
-// play runs a case and returns what was broken.
-func (j *joining) play(events []trouble) []string {
+// run runs a case and returns the violations.
+func (j *scenario) run(events []fault) []string {
 	defer func() {
 		for _, stop := range j.stops {
 			stop()
 		}
 	}()
-	j.next = j.farm.follow(copyBehind)
-	j.hold(true)
+	j.next = j.zone.follow(followerLag)
+	j.startHolder(true)
 	time.Sleep(j.settle)
 	j.holder.begun = true
 	for _, e := range events {
 		time.Sleep(e.After)
-		j.strike(e)
-		j.seen.events.Add(1)
+		j.inject(e)
+		j.counts.events.Add(1)
 	}
 	time.Sleep(25 * time.Second)
-	j.farm.mu.Lock()
-	defer j.farm.mu.Unlock()
-	j.seen.cases.Add(1)
-	j.seen.joins.Add(int64(j.farm.joins))
-	j.seen.left.Add(int64(j.farm.left))
-	return j.farm.two
+	j.zone.mu.Lock()
+	defer j.zone.mu.Unlock()
+	j.counts.cases.Add(1)
+	j.counts.joins.Add(int64(j.zone.joins))
+	j.counts.left.Add(int64(j.zone.left))
+	return j.zone.doubleMembers
 }
 
-// target returns an endpoint: heads of open groups, then their members, then others.
-func (j *joining) target(n int) (id, head string) {
-	j.farm.mu.Lock()
-	defer j.farm.mu.Unlock()
-	rank := func(w *farmWorker) int {
+// target returns the n-th endpoint and its group's head: heads of open groups come
+// first, then other members, then the rest.
+func (j *scenario) target(n int) (id, head string) {
+	j.zone.mu.Lock()
+	defer j.zone.mu.Unlock()
+	rank := func(w *fakeEndpoint) int {
 		switch {
 		case w.dead || len(w.members) < 2:
 			return 2
@@ -205,8 +206,8 @@
 		}
 		return 1
 	}
-	var all []*farmWorker
-	for _, w := range j.farm.workers {
+	var all []*fakeEndpoint
+	for _, w := range j.zone.workers {
 		all = append(all, w)
 	}
 	sort.Slice(all, func(a, b int) bool {
@@ -222,155 +223,155 @@
 	return w.ID, head
 }
 
-func (j *joining) strike(e trouble) {
-	f := j.farm
+func (j *scenario) inject(e fault) {
+	f := j.zone
 	id, head := j.target(e.VM)
 	until := time.Now().Add(e.Lasts)
 	switch e.Kind {
-	case troubleCrash, troubleDark:
-		f.kill(id, e.Kind == troubleDark)
-	case troubleLeave:
-		f.deafen(id)
+	case faultCrash, faultUnresponsive:
+		f.kill(id, e.Kind == faultUnresponsive)
+	case faultLeave:
+		f.stopListening(id)
 		time.AfterFunc(e.Lasts, func() { f.kill(id, true) })
-	case troubleSilent:
-		f.silence(id, e.Lasts)
-	case troubleCut, troubleOneWay:
+	case faultIsolated:
+		f.isolate(id, e.Lasts)
+	case faultUnreachable, faultNoAnswers:
 		f.mu.Lock()
-		if e.Kind == troubleCut {
-			j.link.cut[id] = until
+		if e.Kind == faultUnreachable {
+			j.link.unreachable[id] = until
 		} else {
-			j.link.deaf[id] = until
+			j.link.noAnswers[id] = until
 		}
 		f.mu.Unlock()
-	case troubleStore:
+	case faultStore:
 		f.cutFromStore(id)
-	case troubleRestart:
+	case faultRestart:
 		f.restart(id)
 		f.mu.Lock()
-		f.show(f.workers[id])
+		f.publishEntry(f.workers[id])
 		f.mu.Unlock()
-	case troubleSlow:
+	case faultSlow:
 		f.mu.Lock()
 		f.workers[id].slow = 4
 		f.mu.Unlock()
-	case troubleOrders:
+	case faultOrders:
 		f.mu.Lock()
-		f.lose, f.twice = e.Share, e.Share/2
+		f.lossRate, f.repeatRate = e.Share, e.Share/2
 		f.mu.Unlock()
-		time.AfterFunc(e.Lasts, func() { f.mu.Lock(); f.lose, f.twice = 0, 0; f.mu.Unlock() })
-	case troubleEntries:
+		time.AfterFunc(e.Lasts, func() { f.mu.Lock(); f.lossRate, f.repeatRate = 0, 0; f.mu.Unlock() })
+	case faultEntries:
 		f.mu.Lock()
 		f.lag = 150*time.Millisecond + min(e.Lasts, 2*time.Second)
 		f.mu.Unlock()
 		time.AfterFunc(e.Lasts, func() { f.mu.Lock(); f.lag = 150 * time.Millisecond; f.mu.Unlock() })
 	default:
-		j.strikeHolder(e, until)
+		j.injectHolderFault(e, until)
 	}
 	if head != "" {
 		j.holder.manager.ReportStall(context.Background(), head)
 	}
 }
 
-// strikeHolder changes who holds the lease.
-func (j *joining) strikeHolder(e trouble, until time.Time) {
+// injectHolderFault changes the lease holder.
+func (j *scenario) injectHolderFault(e fault, until time.Time) {
 	switch e.Kind {
-	case troubleHandOver:
+	case faultHandOver:
 		j.holder.holds = false
 		time.Sleep(100 * time.Millisecond)
-		j.hold(false)
-	case troubleKill:
+		j.startHolder(false)
+	case faultKill:
 		j.holder.holds = false
 		j.holder.group.Stop()
 		time.Sleep(3 * time.Second)
-		j.hold(false)
-	case troubleFreeze:
-		j.farm.mu.Lock()
+		j.startHolder(false)
+	case faultFreeze:
+		j.zone.mu.Lock()
 		j.link.frozen = until
-		j.farm.mu.Unlock()
+		j.zone.mu.Unlock()
 		j.holder.holds = false
 		time.Sleep(3 * time.Second)
-		j.hold(false)
-	case troubleBack:
+		j.startHolder(false)
+	case faultLeaseRegained:
 		first, link := j.holder, j.link
 		first.holds = false
 		time.Sleep(time.Second)
-		j.hold(false)
+		j.startHolder(false)
 		time.Sleep(e.Lasts / 2)
 		j.holder.holds = false
-		j.farm.mu.Lock()
-		j.farm.write()
-		first.heldFrom = fleet.Position{Version: j.farm.version}
-		j.farm.mu.Unlock()
+		j.zone.mu.Lock()
+		j.zone.write()
+		first.heldFrom = fleet.Position{Version: j.zone.version}
+		j.zone.mu.Unlock()
 		j.holder, j.link, first.holds = first, link, true
 	}
 }
 
-// Callers' streams stand still because a VM of their group was joined to another
-// one. Whatever happens to heads, members, orders, links, entries and holders,
-// and in whatever order, no VM takes a join of another group while the head of
-// its own is open.
+// Streams stalled because a VM of their group was joined to another group. Whatever
+// faults hit heads, members, orders, connections, entries and holders, and in whatever
+// order, no VM accepts an order to join another group while the head of its own group
+// is open.
 func TestNoVMIsInTwoGroups(t *testing.T) {
-	seen := &seenCases{}
+	seen := &caseCounts{}
 	rapid.Check(t, func(rt *rapid.T) {
-		events := troubles().Draw(rt, "events")
+		events := faults().Draw(rt, "events")
 		seed := rapid.Uint64().Draw(rt, "seed")
-		var broken []string
+		var violations []string
 		synctest.Test(t, func(t *testing.T) {
-			j := &joining{t: t, settle: 25 * time.Second, farm: newFarm(seed, 1, 11), seen: seen}
-			broken = j.play(events)
+			j := &scenario{t: t, settle: 25 * time.Second, zone: newFakeZone(seed, 1, 11), counts: seen}
+			violations = j.run(events)
 		})
-		if len(broken) > 0 {
-			rt.Fatalf("%s", fmt.Sprint(broken))
+		if len(violations) > 0 {
+			rt.Fatalf("%s", fmt.Sprint(violations))
 		}
 	})
-	t.Logf("%d cases: %d events, %d holders, %d joins, %d orders to leave that were taken", seen.cases.Load(), seen.events.Load(),
+	t.Logf("%d cases: %d events, %d holders, %d joins, %d accepted orders to leave", seen.cases.Load(), seen.events.Load(),
 		seen.holders.Load(), seen.joins.Load(), seen.left.Load())
 }
 
-// The same where members of small groups replace those of large ones, and groups
-// are given to another model while the demand moves.
+// The same as TestNoVMIsInTwoGroups, while members of small groups replace those of
+// large ones and groups are converted to another model as the demand changes.
 func TestNoVMIsInTwoGroupsWhileGroupsAreTakenApart(t *testing.T) {
-	seen := &seenCases{}
+	seen := &caseCounts{}
 	rapid.Check(t, func(rt *rapid.T) {
-		events := troubles().Draw(rt, "events")
+		events := faults().Draw(rt, "events")
 		seed := rapid.Uint64().Draw(rt, "seed")
 		asked := map[string]int{"large": rapid.IntRange(0, 20).Draw(rt, "large"), "small": rapid.IntRange(0, 20).Draw(rt, "small")}
-		var broken []string
+		var violations []string
 		synctest.Test(t, func(t *testing.T) {
-			j := &joining{t: t, settle: time.Minute, asked: asked, farm: newFarmOf(pairsEngine(), seed, 3, 18), seen: seen}
-			broken = j.play(events)
-			seen.staged.Add(int64(j.farm.staged))
+			j := &scenario{t: t, settle: time.Minute, demand: asked, zone: newFakeZoneWith(pairsEngine(), seed, 3, 18), counts: seen}
+			violations = j.run(events)
+			seen.staged.Add(int64(j.zone.staged))
 		})
-		if len(broken) > 0 {
-			rt.Fatalf("%s", fmt.Sprint(broken))
+		if len(violations) > 0 {
+			rt.Fatalf("%s", fmt.Sprint(violations))
 		}
 	})
-	t.Logf("%d cases: %d events, %d holders, %d joins, %d models taken in by members that serve", seen.cases.Load(), seen.events.Load(),
+	t.Logf("%d cases: %d events, %d holders, %d joins, %d models staged by serving members", seen.cases.Load(), seen.events.Load(),
 		seen.holders.Load(), seen.joins.Load(), seen.staged.Load())
 }
 
-// A group's life goes from the first order to join to the time after its end,
-// and the lease changes hands at each step of it: as planned, by the holder's
-// end, or while the holder stands still with an order decided. The head stops
-// listening, falls silent or crashes besides.
+// The lease changes holders at each step of a group's life, from the first order to
+// join until after its end: by a planned handover, by the holder's crash, or while the
+// holder is frozen with an order pending. In addition, the head stops listening,
+// becomes unresponsive or crashes.
 func TestLeaseChangesHandsAtEachStep(t *testing.T) {
-	seen := &seenCases{}
-	for _, how := range []string{troubleHandOver, troubleKill, troubleFreeze, troubleBack} {
-		for _, head := range []string{troubleNone, troubleLeave, troubleSilent, troubleCrash, troubleOneWay, troubleStore} {
+	seen := &caseCounts{}
+	for _, how := range []string{faultHandOver, faultKill, faultFreeze, faultLeaseRegained} {
+		for _, head := range []string{faultNone, faultLeave, faultIsolated, faultCrash, faultNoAnswers, faultStore} {
 			for step := range 24 {
-				events := []trouble{
-					{Kind: troubleDark, VM: 2}, // a member: its group is formed anew
+				events := []fault{
+					{Kind: faultUnresponsive, VM: 2}, // a member, so that its group is formed again
 					{Kind: how, After: time.Duration(step) * 100 * time.Millisecond, Lasts: 4 * time.Second},
 					{Kind: head, VM: 0, After: time.Duration(step%5) * 100 * time.Millisecond, Lasts: 3 * time.Second},
-					{Kind: troubleNone, After: time.Second},
+					{Kind: faultNone, After: time.Second},
 				}
-				var broken []string
+				var violations []string
 				synctest.Test(t, func(t *testing.T) {
-					j := &joining{t: t, settle: 25 * time.Second, farm: newFarm(uint64(step), 1, 11), seen: seen}
-					broken = j.play(events)
+					j := &scenario{t: t, settle: 25 * time.Second, zone: newFakeZone(uint64(step), 1, 11), counts: seen}
+					violations = j.run(events)
 				})
-				if len(broken) > 0 {
-					t.Errorf("%s, head: %s, step %d: %v", how, head, step, broken)
+				if len(violations) > 0 {
+					t.Errorf("%s, head: %s, step %d: %v", how, head, step, violations)
 				}
 			}
 		}
@@ -380,12 +381,12 @@
 
 var _ fleet.Orderer = (*link)(nil)
 
-// manageBy returns a holder that reaches the endpoints by a link, with its own
+// manageBy returns a holder that reaches the endpoints through a link, with its own
 // copy of their entries.
-func manageBy(f *farm, fresh bool, orderer fleet.Orderer, book *directory.Book) *node {
+func manageBy(f *fakeZone, fresh bool, orderer fleet.Orderer, book *directory.Book) *node {
 	f.mu.Lock()
 	f.leases++
-	n := &node{version: f.leases, holds: true, fresh: fresh, moving: map[string]bool{}, group: kernel.NewGroup(context.Background())}
+	n := &node{version: f.leases, holds: true, fresh: fresh, progressing: map[string]bool{}, group: kernel.NewGroup(context.Background())}
 	f.mu.Unlock()
 	n.start(book, orderer)
 	return n
--- a/formation/leaving_head_test.go
+++ b/formation/leaving_head_test.go
@@ -12,16 +12,16 @@
 	"redwinghall/fleet"
 )
 
-// Callers' streams stand still from one moment to the next. Their group's head
-// leaves: it has stopped listening, works its streams off, and its entry, which
-// the store didn't take, still says open. The holder asks the head, is refused,
-// takes it for ended, and joins its members to another group while it serves.
+// Streams stalled at once when their group's head was leaving: it had stopped listening
+// and was finishing its streams, and its entry, which the store hadn't updated, still
+// said open. The holder's probe of the head was refused, so it took the head for ended
+// and joined its members to another group while it served.
 func TestMembersOfAHeadThatStoppedListening(t *testing.T) {
 	for name, handOver := range map[string]bool{"same holder": false, "new holder": true} {
 		for _, model := range []string{"large", "small"} {
 			t.Run(name+" "+model, func(t *testing.T) {
-				play(t, func(t *testing.T, f *farm, n *node) {
-					w := f.whole(model)[0]
+				runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
+					w := f.servingHeads(model)[0]
 					holder := n
 					if handOver {
 						n.holds = false
@@ -30,20 +30,20 @@
 						holder.begun = true
 						time.Sleep(300 * time.Millisecond)
 					}
-					f.deafen(w.ID)
+					f.stopListening(w.ID)
 					holder.manager.ReportStall(context.Background(), w.ID)
 					time.Sleep(5 * time.Second)
 					f.mu.Lock()
 					defer f.mu.Unlock()
-					require.Empty(t, f.broken)
+					require.Empty(t, f.violations)
 				})
 			})
 		}
 	}
 }
 
-// Members of a ready group were told to join another one, and these orders are
-// late. The other group comes to nothing, and the old one is whole again. If it
+// Members of a ready group were ordered to join another group, and these orders are
+// delayed. The other group is never formed, and the old one is complete again. If it
 // opened, it would lose its members to the late orders while it serves.
 func TestGroupWhoseMembersWereToldToJoinAnotherDoesNotOpen(t *testing.T) {
 	for seed := range uint64(20) {
@@ -53,8 +53,8 @@
 
 func lateOrdersToAReadyGroup(t *testing.T, seed uint64) {
 	t.Helper()
-	f := newFarm(seed, 1, 4)
-	f.closed = true
+	f := newFakeZone(seed, 1, 4)
+	f.refuseOpen = true
 	n := manage(f, true)
 	defer n.stop(t)
 	time.Sleep(40 * time.Second)
@@ -63,31 +63,31 @@
 	require.Len(t, group, 3)
 	f.mu.Lock()
 	f.workers[spare].Staged = []string{"small"}
-	f.show(f.workers[spare])
+	f.publishEntry(f.workers[spare])
 	f.mu.Unlock()
 	time.Sleep(time.Second)
 	f.mu.Lock()
-	f.lose = 1
+	f.lossRate = 1
 	f.mu.Unlock()
-	f.silence(group[2], time.Second)
+	f.isolate(group[2], time.Second)
 	n.manager.ReportStall(context.Background(), group[0])
 	time.Sleep(600 * time.Millisecond)
-	f.silence(spare, 6*time.Second)
+	f.isolate(spare, 6*time.Second)
 	n.manager.ReportStall(context.Background(), group[0])
 	time.Sleep(3 * time.Second)
 	f.mu.Lock()
-	f.lose, f.closed = 0, false
+	f.lossRate, f.refuseOpen = 0, false
 	f.mu.Unlock()
 	time.Sleep(20 * time.Second)
 	f.mu.Lock()
-	require.Empty(t, f.broken, "seed %d", seed)
+	require.Empty(t, f.violations, "seed %d", seed)
 	f.mu.Unlock()
-	require.Len(t, f.whole("small"), 1)
+	require.Len(t, f.servingHeads("small"), 1)
 }
 
-// readyGroup returns the members of the only ready group, its head first, and
-// an endpoint that isn't in it.
-func (f *farm) readyGroup() (members []string, spare string) {
+// readyGroup returns the members of the only ready group, its head first, and an
+// endpoint outside it.
+func (f *fakeZone) readyGroup() (members []string, spare string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, w := range f.workers {
--- a/formation/loads.go
+++ b/formation/loads.go
@@ -6,23 +6,24 @@
 	"redwinghall/fleet"
 )
 
-// loadBudget bounds the loads from the weight store that one zone's holder
+// loadBudget limits the loads from the weight store that the lease holder of one zone
 // starts.
 //
-// Guard: operators bound the loads that begin in a window over all zones, and
-// the zones' holders don't ask each other. Each gets an even part of it.
+// Operators limit the number of loads that begin in a time window across all zones, but
+// the lease holders of the zones don't coordinate. Each gets an equal part of that
+// limit.
 type loadBudget struct {
 	rate, burst float64
 	tokens      float64
 	at          time.Time
 }
 
-// The weight store's own allowance beyond its rate, and the part of the whole
-// that is used, as windows slide on another clock.
+// loadsAllowance is what the weight store permits beyond its rate. loadsMargin is the
+// part of the total that is used, because the windows are measured on another clock.
 const (
 	loadsAllowance = 3
 	loadsMargin    = 0.9
-	minLoadRate    = 0.2 // a second, where the parts are too small for a group
+	minLoadRate    = 0.2 // loads per second, if a zone's part is too small for a group
 )
 
 func newLoadBudget(bounds fleet.Bounds, engine *fleet.Engine, zones int) *loadBudget {
@@ -39,7 +40,7 @@
 func (m *Manager) loadBudgetFor(zone string, engine *fleet.Engine) *loadBudget {
 	b, ok := m.loadBudgets[zone]
 	if !ok {
-		// A new holder doesn't know what the last one started: it begins with nothing.
+		// The budget starts empty: a new holder doesn't know which loads the last one started.
 		b = newLoadBudget(m.Settings().Bounds, engine, len(m.Settings().Zones))
 		m.loadBudgets[zone] = b
 	}
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -11,51 +11,54 @@
 	"redwinghall/kernel"
 )
 
-// Times of the manager.
+// Timing of the manager.
 const (
 	planInterval = 100 * time.Millisecond
-	// suspectDuration is how long an endpoint that didn't answer stays out of groups.
+	// suspectDuration is how long an endpoint that didn't answer is kept out of groups.
 	suspectDuration = 4 * time.Second
-	// overlayTimeout is how long an order counts as carried out before its effect
-	// shows in the endpoint's entry.
+	// overlayTimeout is how long an order is assumed to be carried out before its
+	// effect shows in the endpoint's entry.
 	overlayTimeout = 2 * time.Second
-	// slowPace is the pace from which a member counts as slow: it makes a whole
-	// group late. It counts so for slowFor, and is asked again then.
+	// slowPace is the pace from which a member counts as slow: it delays its whole
+	// group. It counts as slow for slowDuration and is then probed again.
 	slowPace     = 1.7
 	slowDuration = 10 * time.Second
-	// settleTime is how long the endpoints of a zone must be the same before its
-	// first groups are formed: groups of the first few would leave no domain for
-	// the large models. settleBound is the longest wait: groups must be open when
-	// the first requests come.
+	// settleTime is how long the set of endpoints of a zone must stay unchanged before
+	// its first groups are formed: groups of the first few endpoints would leave no
+	// domain for the large models. maxSettleTime is the longest wait, because groups
+	// must be open when the first requests arrive.
 	settleTime    = 500 * time.Millisecond
 	maxSettleTime = 6 * time.Second
-	// lateOrderWindow is how long after it was given an order without an answer may
-	// still be carried out.
+	// lateOrderWindow is how long after it was sent an unanswered order may still be
+	// carried out.
 	lateOrderWindow = 14 * time.Second
-	// probeInterval spaces questions to an endpoint that doesn't answer.
+	// probeInterval is the minimum time between probes of an endpoint that doesn't
+	// answer.
 	probeInterval = 500 * time.Millisecond
 )
 
-// Options are the parts that a manager works with.
+// Options are the dependencies of a manager.
 type Options struct {
 	// Settings returns the settings in force.
 	Settings func() fleet.Settings
 	Book     *directory.Book
 	Orderer  fleet.Orderer
 	// HoldsLease reports whether this node may form the groups of a zone now, and
-	// HeldFrom at which position of the store it took the zone's lease.
+	// LeasePosition returns the store position at which it acquired the zone's lease.
 	HoldsLease    func(zone string) bool
 	LeasePosition func(zone string) fleet.Position
-	// Settled reports whether what the store lost before an era of it has been written
-	// again.
+	// Settled reports whether the entries that the store lost before an era have been
+	// written again.
 	Settled func(era int64) bool
-	// Position returns the newest position of the store that this node knows.
+	// Position returns the newest store position that this node knows.
 	Position func() fleet.Position
-	// TrafficStarted reports whether requests have come yet.
+	// TrafficStarted reports whether any request has arrived yet.
 	TrafficStarted func() bool
-	// Progressing reports whether this node saw a stream of an endpoint advance lately.
+	// Progressing reports whether this node recently saw a stream of an endpoint
+	// advance.
 	Progressing func(now time.Time, endpointID string) bool
-	// Running returns how many requests a head has, as far as this node knows.
+	// Running returns how many requests a head has in progress, as far as this node
+	// knows.
 	Running func(now time.Time, endpointID string) int
 }
 
@@ -69,14 +72,14 @@
 	loadBudgets   map[string]*loadBudget   // by zone
 	registrations map[string]*registration // by zone
 	demands       map[string]*demand       // by zone
-	sending       map[string]bool          // endpoints with an order on its way
+	sending       map[string]bool          // endpoints with an order in flight
 	probing       map[string]bool
 	pending       atomic.Bool
 	stopped       bool
 	group         *kernel.Group
 }
 
-// endpointState is what the manager remembers of an endpoint between plans.
+// endpointState is what the manager keeps about an endpoint between plans.
 type endpointState struct {
 	worker       Worker
 	born         int64
@@ -88,20 +91,20 @@
 	seenAt       time.Time
 	probedAt     time.Time
 	unlisted     unlisted
-	// unansweredJoin is the group of the last order to join that got no answer, and
-	// lateUntil is until when that may be carried out.
+	// unansweredJoin is the group of the last join order that got no answer, and
+	// unansweredJoinUntil is until when that order may still be carried out.
 	unansweredJoin      string
 	unansweredJoinUntil time.Time
 }
 
-// registration follows how the endpoints of a zone register at the start.
+// registration tracks how the endpoints of a zone register at startup.
 type registration struct {
 	count   int
 	first   time.Time
 	changed time.Time
 }
 
-// NewManager returns a manager that has seen nothing.
+// NewManager returns a manager that knows no endpoints yet.
 func NewManager(options Options) *Manager {
 	return &Manager{
 		Options: options, endpoints: map[string]*endpointState{}, groups: map[string]*groupState{},
@@ -109,18 +112,18 @@
 	}
 }
 
-// Pending reports whether this node waits for endpoints to carry out orders that
-// take moments.
+// Pending reports whether this node waits for endpoints to carry out orders that take
+// only moments.
 func (m *Manager) Pending() bool { return m.pending.Load() }
 
-// Stop ends planning; orders on their way are not called back.
+// Stop ends planning; orders in flight are not cancelled.
 func (m *Manager) Stop() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stopped = true
 }
 
-// Start plans until the group stops.
+// Start runs the planning loop until the kernel group stops.
 func (m *Manager) Start(g *kernel.Group) {
 	m.group = g
 	g.Every("formation", planInterval, m.step)
@@ -150,9 +153,9 @@
 	m.pending.Store(pending)
 }
 
-// planServices plans the groups of a zone's engine services by the newest view: one that was
-// taken before caughtUp may be older than what that found. It reports whether something is
-// under way.
+// planServices plans the groups of a zone's engine services from the newest view: a
+// view taken before caughtUp may be older than the position that caughtUp checked. It
+// reports whether any change is in progress.
 func (m *Manager) planServices(ctx context.Context, now time.Time, zone string) bool {
 	view := m.Book.View()
 	config := view.Config()
@@ -168,20 +171,20 @@
 	return pending
 }
 
-// caughtUp reports whether this node has read the endpoints' entries as they
-// were when it took a zone's lease.
+// caughtUp reports whether this node has read the endpoints' entries as of the time it
+// acquired a zone's lease.
 //
-// Guard: the last holder opens a group on its members' entries and may stop
-// right after. Who takes the lease with an older copy of the entries sees the
-// members without a group and joins them to others while they serve. So do entries of a
-// store that has just come back older.
+// The last holder opens a group based on its members' entries and may stop right
+// afterwards. A new holder with an older copy of the entries would see those members
+// without a group and join them to other groups while they serve. The same holds for
+// entries of a store that was just restored to an older state.
 func (m *Manager) caughtUp(zone string) bool {
 	read := m.Book.Read()
 	return !read.Before(m.LeasePosition(zone)) && m.Settled(read.Era)
 }
 
-// planZone plans one zone's groups and sends the orders. It reports whether
-// something is under way.
+// planZone plans one zone's groups and sends the orders. It reports whether any change
+// is in progress.
 func (m *Manager) planZone(ctx context.Context, now time.Time, zone string, service fleet.Service, endpoints []*fleet.Endpoint) bool {
 	engine := service.Engine
 	z := &Zone{History: m.history, Progressing: func(id string) bool { return m.Progressing(now, id) }, Engine: engine, Startup: m.Settings().FirstStart && !m.TrafficStarted(), NextEpoch: m.nextEpoch}
@@ -213,7 +216,8 @@
 	return pending || len(steps) > 0
 }
 
-// registrationSettled reports whether a zone's endpoints have all registered, as far as can be told.
+// registrationSettled reports whether a zone's endpoints have all registered, as far as
+// can be told.
 func (m *Manager) registrationSettled(now time.Time, zone string, count int) bool {
 	a, ok := m.registrations[zone]
 	if !ok {
@@ -227,25 +231,25 @@
 }
 
 const (
-	// epochBits leaves each version of the store room for 4,096 epochs.
+	// epochBits leaves room for 4,096 epochs for each version of the store.
 	epochBits = 12
-	// eraBits leaves each era of the store room for 2^28 versions.
+	// eraBits leaves room for 2^28 versions in each era of the store.
 	eraBits = 40
 )
 
-// nextEpoch returns an epoch that is higher than all before.
+// nextEpoch returns an epoch higher than all earlier ones.
 //
-// Guard: orders of an earlier holder may be carried out late. Its epochs stem
-// from positions of the store before this holder took the lease, so they are
-// lower, and a VM that has seen a newer epoch refuses them. Versions alone go back when the
-// store comes back older, eras don't.
+// Orders of an earlier holder may be carried out late. Its epochs derive from store
+// positions before this holder acquired the lease, so they are lower, and a VM that has
+// seen a newer epoch refuses them. Versions alone go back when the store is restored to
+// an older state; eras don't.
 func (m *Manager) nextEpoch() int64 {
 	at := m.Position()
 	m.epoch = max(m.epoch, at.Era<<eraBits+at.Version<<epochBits) + 1
 	return m.epoch
 }
 
-// markFree notes since when each worker belongs to no group that serves or forms.
+// markFree records since when each worker belongs to no group that serves or forms.
 func (m *Manager) markFree(now time.Time, workers []*Worker) {
 	serving := map[string]bool{}
 	for _, w := range workers {
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -17,35 +17,36 @@
 	"redwinghall/kernel"
 )
 
-// node is a manager of the farm's zone.
+// node runs a manager of the fake zone.
 type node struct {
-	manager *formation.Manager
-	group   *kernel.Group
-	holds   bool
-	begun   bool
-	moving  map[string]bool
-	// asked is how many requests each open group of a model has.
-	asked atomic.Pointer[map[string]int]
-	fresh bool
-	era   int64 // of the store
-	// onHolds is called as the manager asks whether it holds the lease; it may be nil.
+	manager     *formation.Manager
+	group       *kernel.Group
+	holds       bool
+	begun       bool
+	progressing map[string]bool
+	// demand is how many requests each open group of a model has.
+	demand atomic.Pointer[map[string]int]
+	fresh  bool
+	era    int64 // of the store
+	// onHolds is called when the manager checks whether it holds the lease; it may be
+	// nil.
 	onHolds func()
-	// unsettled says that entries may be older than what endpoints had written.
+	// unsettled reports whether entries may be older than what endpoints had written.
 	unsettled bool
-	version   int64 // of the store when it took the lease
-	// heldFrom is the version from which the entries must have been read.
+	version   int64 // of the store when the node acquired the lease
+	// heldFrom is the position up to which the entries must have been read.
 	heldFrom fleet.Position
 }
 
-func manage(f *farm, fresh bool) *node {
+func manage(f *fakeZone, fresh bool) *node {
 	f.leases++
-	n := &node{version: f.leases, holds: true, fresh: fresh, moving: map[string]bool{}, group: kernel.NewGroup(context.Background())}
+	n := &node{version: f.leases, holds: true, fresh: fresh, progressing: map[string]bool{}, group: kernel.NewGroup(context.Background())}
 	n.start(f.book, f)
 	return n
 }
 
-// start lets a node form groups by its copy of the entries and its way to the
-// endpoints.
+// start runs a manager that forms groups from the node's copy of the entries and sends
+// orders through orderer.
 func (n *node) start(book *directory.Book, orderer fleet.Orderer) {
 	settings := fleet.Settings{Zone: "z", Zones: []string{"z"}, FirstStart: n.fresh, Bounds: fleet.Bounds{
 		Stall: 4 * time.Second, LoadsWindow: 5 * time.Second, LoadsOvershoot: 1.1,
@@ -53,24 +54,25 @@
 	n.manager = formation.NewManager(formation.Options{
 		Settings: func() fleet.Settings { return settings }, Book: book, Orderer: orderer, LeasePosition: func(string) fleet.Position { return n.heldFrom },
 		Settled:    func(int64) bool { return !n.unsettled },
-		HoldsLease: func(string) bool { n.asksHolds(); return n.holds }, Position: func() fleet.Position { return fleet.Position{Era: n.era, Version: n.version} },
-		TrafficStarted: func() bool { return n.begun }, Progressing: func(_ time.Time, id string) bool { return n.moving[id] },
+		HoldsLease: func(string) bool { n.leaseChecked(); return n.holds }, Position: func() fleet.Position { return fleet.Position{Era: n.era, Version: n.version} },
+		TrafficStarted: func() bool { return n.begun }, Progressing: func(_ time.Time, id string) bool { return n.progressing[id] },
 		Running: n.running(book),
 	})
 	n.manager.Start(n.group)
 }
 
-func (n *node) asksHolds() {
+func (n *node) leaseChecked() {
 	if n.onHolds != nil {
 		n.onHolds()
 	}
 }
 
-// running returns how many requests a head has, by what is asked for of its model.
+// running returns a function that reports a head's number of requests, according to its
+// model's demand.
 func (n *node) running(book *directory.Book) func(time.Time, string) int {
 	return func(_ time.Time, id string) int {
 		e, known := book.View().Endpoints[id]
-		asked := n.asked.Load()
+		asked := n.demand.Load()
 		if !known || asked == nil {
 			return 0
 		}
@@ -84,33 +86,33 @@
 	require.NoError(t, n.group.Wait())
 }
 
-// play runs a test over two domains of eleven that have formed their groups.
-func play(t *testing.T, run func(t *testing.T, f *farm, n *node)) {
+// runDefault runs a test on two domains of eleven that have formed their groups.
+func runDefault(t *testing.T, run func(t *testing.T, f *fakeZone, n *node)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFarm(1, 2, 11)
+		f := newFakeZone(1, 2, 11)
 		n := manage(f, true)
 		defer n.stop(t)
 		time.Sleep(40 * time.Second)
 		n.begun = true
-		require.Len(t, f.whole("large"), 2)
-		require.Len(t, f.whole("small"), 2)
+		require.Len(t, f.servingHeads("large"), 2)
+		require.Len(t, f.servingHeads("small"), 2)
 		run(t, f, n)
-		require.Empty(t, f.broken)
+		require.Empty(t, f.violations)
 	})
 }
 
 // memberOf returns a member of some group of a model, and the group's head.
-func memberOf(f *farm, model string, rank int) (member, head string) {
-	w := f.whole(model)[0]
+func memberOf(f *fakeZone, model string, rank int) (member, head string) {
+	w := f.servingHeads(model)[0]
 	return w.members[rank], w.ID
 }
 
-// Endpoints register over about a second. Groups of the first few would leave
+// Endpoints register over about a second. Forming groups from the first few would leave
 // no domain for the large model, and half of its groups would be missing.
 func TestFirstGroupsWaitForAllEndpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFarm(1, 0, 0)
+		f := newFakeZone(1, 0, 0)
 		n := manage(f, true)
 		defer n.stop(t)
 		for i := range 22 {
@@ -118,18 +120,18 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		time.Sleep(30 * time.Second)
-		require.Len(t, f.whole("large"), 2)
-		require.Len(t, f.whole("small"), 2)
+		require.Len(t, f.servingHeads("large"), 2)
+		require.Len(t, f.servingHeads("small"), 2)
 	})
 }
 
-// Of many endpoints only so many register in a second. Groups that are formed
-// while they still come find half-filled domains: a zone of two domains of 27
-// that fill for 4 s got one large group instead of two, and half of the large
-// model's callers were refused all day.
+// The number of endpoints that can register per second is limited. Groups formed while
+// endpoints still register find partly filled domains: a zone of two domains of 27 that
+// took 4 s to fill got one large group instead of two, and half of the large model's
+// requests were refused from then on.
 func TestFirstGroupsWaitWhileEndpointsKeepComing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFarm(1, 0, 0)
+		f := newFakeZone(1, 0, 0)
 		n := manage(f, true)
 		defer n.stop(t)
 		for i := range 22 {
@@ -137,37 +139,37 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 		time.Sleep(30 * time.Second)
-		require.Len(t, f.whole("large"), 2)
-		require.Len(t, f.whole("small"), 2)
+		require.Len(t, f.servingHeads("large"), 2)
+		require.Len(t, f.servingHeads("small"), 2)
 	})
 }
 
-// Callers of a group wait for nothing: a member fell silent, the head goes on
-// accepting, and no event comes. The group is closed as soon as its streams
-// stand still, and a standby that has the model takes the place.
+// A member becomes unresponsive while the head keeps accepting requests, and no event
+// reports it. The group is closed as soon as its streams stall, and a standby that has
+// the model replaces the member.
 func TestLostMemberIsReplacedWithinSeconds(t *testing.T) {
 	for _, model := range []string{"large", "small"} {
 		t.Run(model, func(t *testing.T) {
-			play(t, func(t *testing.T, f *farm, n *node) {
+			runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 				member, head := memberOf(f, model, 1)
 				loads := f.loads
 				f.kill(member, true)
 				time.Sleep(700 * time.Millisecond)
 				n.manager.ReportStall(context.Background(), head)
 				time.Sleep(2500 * time.Millisecond)
-				require.Len(t, f.whole("large"), 2)
-				require.Len(t, f.whole("small"), 2)
+				require.Len(t, f.servingHeads("large"), 2)
+				require.Len(t, f.servingHeads("small"), 2)
 				require.Equal(t, loads, f.loads, "each domain keeps a standby of each model")
 			})
 		})
 	}
 }
 
-// The store is slow, and entries show what was ordered after 2 s. A member that
-// answers that it has joined already must not be taken for one that has not:
-// its group would be dissolved, and its members wait for seconds.
+// The store is slow, and entries show the effect of orders after 2 s. A member that
+// answers that it has already joined must not be taken for one that hasn't: its group
+// would be dissolved, and its members would wait for seconds.
 func TestSlowEntriesDissolveNoGroup(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		member, head := memberOf(f, "large", 1)
 		f.mu.Lock()
 		f.lag = 1800 * time.Millisecond
@@ -176,14 +178,14 @@
 		time.Sleep(700 * time.Millisecond)
 		n.manager.ReportStall(context.Background(), head)
 		time.Sleep(8 * time.Second)
-		require.Len(t, f.whole("large"), 2)
+		require.Len(t, f.servingHeads("large"), 2)
 	})
 }
 
-// A whole domain goes dark and comes back with the models in its hosts'
-// memory. Its groups are there again within seconds, without a load.
+// A whole domain goes down and comes back with the models in host memory. Its groups
+// are formed again within seconds, without a load.
 func TestDomainComesBack(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, _ *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, _ *node) {
 		loads := f.loads
 		f.mu.Lock()
 		var ids []string
@@ -200,23 +202,23 @@
 		f.mu.Lock()
 		for _, id := range ids {
 			old := f.workers[id]
-			old.dead, old.dark = false, false
+			old.dead, old.unresponsive = false, false
 			old.Born, old.last, old.Member, old.members, old.Models = 2, "", fleet.Membership{}, nil, nil
-			f.show(old)
+			f.publishEntry(old)
 		}
 		f.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		require.Len(t, f.whole("large"), 2)
-		require.Len(t, f.whole("small"), 2)
+		require.Len(t, f.servingHeads("large"), 2)
+		require.Len(t, f.servingHeads("small"), 2)
 		require.LessOrEqual(t, f.loads-loads, 1)
 	})
 }
 
-// The store's trouble ends the service of good groups: members that are cut
-// off from the store alone lose their entries while they serve on. They are
-// asked, and the group stays open.
+// A store outage ended the service of healthy groups: members that are partitioned from
+// the store only lose their entries while they keep serving. They are asked directly,
+// and the group stays open.
 func TestMemberCutOffFromTheStoreStays(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, _ *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, _ *node) {
 		member, head := memberOf(f, "large", 2)
 		group := f.workers[head].Member
 		f.cutFromStore(member)
@@ -225,33 +227,33 @@
 	})
 }
 
-// A member that neither the store nor this node reaches may still serve with
-// the others. While the group's streams advance, the group stays.
+// A member that neither the store nor this node can reach may still serve with the
+// others. The group stays while its streams progress.
 func TestSilentMemberOfAMovingGroupStays(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		member, head := memberOf(f, "large", 2)
 		group := f.workers[head].Member
-		n.moving[head] = true
+		n.progressing[head] = true
 		f.mu.Lock()
-		f.workers[member].dark = true
+		f.workers[member].unresponsive = true
 		f.mu.Unlock()
-		f.hide(member, 3600*time.Millisecond)
+		f.removeEntry(member, 3600*time.Millisecond)
 		time.Sleep(10 * time.Second)
 		require.Equal(t, group, f.workers[head].Member)
-		n.moving[head] = false
+		n.progressing[head] = false
 		time.Sleep(5 * time.Second)
 		require.NotEqual(t, group, f.workers[head].Member)
 	})
 }
 
-// A head that lost its entry gets no requests. The group is formed anew under
-// another head, and the old one stays a member.
+// A head without an entry gets no requests. The group is formed again under another
+// head, and the old head stays a member.
 func TestUnlistedHeadIsReplaced(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, _ *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, _ *node) {
 		_, head := memberOf(f, "small", 1)
 		f.cutFromStore(head)
 		time.Sleep(12 * time.Second)
-		small := f.whole("small")
+		small := f.servingHeads("small")
 		require.Len(t, small, 2)
 		for _, w := range small {
 			require.False(t, w.unlisted)
@@ -259,38 +261,38 @@
 	})
 }
 
-// A slow member makes its whole group late. It is replaced by a standby, and
-// the group isn't opened again as it was.
+// A slow member delays its whole group. It is replaced by a standby, and the group
+// isn't opened again with the slow member.
 func TestSlowMemberIsReplaced(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		member, head := memberOf(f, "large", 3)
 		f.mu.Lock()
 		f.workers[member].slow = 4
 		f.mu.Unlock()
 		n.manager.ReportStall(context.Background(), head)
 		time.Sleep(4 * time.Second)
-		require.Len(t, f.whole("large"), 2)
-		for _, w := range f.whole("large") {
+		require.Len(t, f.servingHeads("large"), 2)
+		for _, w := range f.servingHeads("large") {
 			require.NotContains(t, w.members, member)
 		}
 	})
 }
 
-// The head of a group is silent, and nobody knows whether it still serves. Its
-// members are told to leave, and some of the orders never arrive. A member that
-// was joined to another group before it said itself that it left would be in
-// two groups at once, however long ago the head fell silent.
+// The head of a group is unresponsive, and it isn't known whether it still serves. Its
+// members are ordered to leave, and some of the orders are lost. A member that was
+// joined to another group before it reported that it left would be in two groups at
+// once, however long ago the head became unresponsive.
 func TestMembersOfASilentHeadJoinOnlyOnceTheyLeft(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, _ *node) {
-		w := f.whole("large")[0]
+	runDefault(t, func(t *testing.T, f *fakeZone, _ *node) {
+		w := f.servingHeads("large")[0]
 		group, stays := w.Member.Group, w.members[1:3]
 		f.mu.Lock()
-		w.dark = true // alive and open, but not to be reached
+		w.unresponsive = true // alive and open, but unreachable
 		for _, id := range stays {
 			f.workers[id].ignores = fleet.OrderLeave
 		}
 		f.mu.Unlock()
-		f.hide(w.ID, 3600*time.Millisecond)
+		f.removeEntry(w.ID, 3600*time.Millisecond)
 		for range 400 {
 			time.Sleep(50 * time.Millisecond)
 			f.mu.Lock()
@@ -298,36 +300,36 @@
 				require.Equal(t, group, f.workers[id].Member.Group)
 			}
 			require.Equal(t, fleet.Open, w.Member.State)
-			require.Empty(t, f.broken)
+			require.Empty(t, f.violations)
 			f.mu.Unlock()
 		}
 		f.mu.Lock()
-		require.NotEqual(t, group, f.workers[w.members[3]].Member.Group, "who left is of use again")
+		require.NotEqual(t, group, f.workers[w.members[3]].Member.Group, "members that left can be used again")
 		f.mu.Unlock()
 	})
 }
 
-// A head's process has ended: its address refuses connections, while its entry
-// stays for some seconds. Its members need not wait as for a silent one, and
-// its address need not be asked at each step.
+// A head's process has ended: its address refuses connections, while its entry remains
+// for some seconds. Its members need not wait as for an unresponsive head, and its
+// address need not be probed at each step.
 func TestMembersOfAnEndedHeadDoNotWait(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
-		w := f.whole("large")[0]
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
+		w := f.servingHeads("large")[0]
 		f.kill(w.ID, false)
 		n.manager.ReportStall(context.Background(), w.ID)
 		asked := f.reports
 		time.Sleep(2500 * time.Millisecond)
-		require.Len(t, f.whole("large"), 2)
-		require.LessOrEqual(t, f.reports-asked, 40, "11 of the domain at once, the members before the group opens")
+		require.Len(t, f.servingHeads("large"), 2)
+		require.LessOrEqual(t, f.reports-asked, 40, "the domain's 11 endpoints once, then the members before the group opens")
 	})
 }
 
-// Orders get no answer and are carried out seconds later, after newer ones.
-// Groups still form, and none opens without its members.
+// Unanswered orders are carried out seconds later, after newer ones. Groups still form,
+// and none opens without its members.
 func TestOrdersCarriedOutLate(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		f.mu.Lock()
-		f.lose = 0.4
+		f.lossRate = 0.4
 		f.mu.Unlock()
 		member, head := memberOf(f, "large", 1)
 		f.kill(member, true)
@@ -335,19 +337,18 @@
 		n.manager.ReportStall(context.Background(), head)
 		time.Sleep(20 * time.Second)
 		f.mu.Lock()
-		f.lose = 0
+		f.lossRate = 0
 		f.mu.Unlock()
 		time.Sleep(20 * time.Second)
-		require.Len(t, f.whole("large"), 2)
+		require.Len(t, f.servingHeads("large"), 2)
 	})
 }
 
-// A member turns out to be slow in the moment in which its group opens: the
-// head was told to open and doesn't show it yet. The group must not be taken
-// apart as if it were closed.
+// A member is found to be slow while its group opens: the head has been ordered to open
+// and doesn't show it yet. The group must not be dissolved as if it were not open.
 func TestGroupIsNotTakenApartWhileItOpens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFarm(1, 2, 11)
+		f := newFakeZone(1, 2, 11)
 		n := manage(f, true)
 		defer n.stop(t)
 		for range 800 {
@@ -356,13 +357,13 @@
 				n.manager.ReportStall(context.Background(), head)
 			}
 		}
-		require.Empty(t, f.broken)
+		require.Empty(t, f.violations)
 	})
 }
 
-// slowOpening makes a member of each group slow that was told to open, and
+// slowOpening slows down a member of each group that has been ordered to open, and
 // returns the groups' heads.
-func (f *farm) slowOpening() []string {
+func (f *fakeZone) slowOpening() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var heads []string
@@ -375,13 +376,13 @@
 	return heads
 }
 
-// A member crashed and came back while its group waited to open. Its entry is
-// old and says that it is ready. The group would serve without it.
+// A member crashed and restarted while its group waited to open. Its entry is outdated
+// and still says that it is ready. The group would serve without it.
 func TestOpenAsksTheMembersThemselves(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		member, head := memberOf(f, "small", 1)
 		f.mu.Lock()
-		f.closed = true
+		f.refuseOpen = true
 		f.mu.Unlock()
 		f.kill(member, false)
 		n.manager.ReportStall(context.Background(), head)
@@ -397,40 +398,40 @@
 		require.NotEmpty(t, last, "a group waits to open")
 		f.restart(last)
 		f.mu.Lock()
-		f.closed = false
+		f.refuseOpen = false
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// A member ended, and another process stands at its address under a new id.
-// When the old id is asked there, the new process answers. It must not be taken
-// for two members: the list of a group would then name one that is gone.
+// A member ended, and another process listens at its address under a new id. A request
+// for the old id's report is answered by the new process. The two ids must not count as
+// two members: the member list of a group would then contain one that is gone.
 func TestAnotherProcessAtAnAddress(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		for round, model := range []string{"small", "large", "small"} {
-			w := f.whole(model)[0]
+			w := f.servingHeads(model)[0]
 			for i, id := range w.members[1:] {
 				f.replace(id, fmt.Sprintf("new-%d-%d", round, i))
 			}
 			n.manager.ReportStall(context.Background(), w.ID)
 			time.Sleep(5 * time.Second)
 			f.mu.Lock()
-			f.lose = 0.6
+			f.lossRate = 0.6
 			f.mu.Unlock()
 			time.Sleep(6 * time.Second)
 			f.mu.Lock()
-			f.lose = 0
+			f.lossRate = 0
 			f.mu.Unlock()
 			time.Sleep(25 * time.Second)
 		}
 	})
 }
 
-// A new holder of the zone's lease knows only what endpoints say. It goes on
-// where the last one stopped, and breaks up nothing.
+// A new holder of the zone's lease knows only what endpoints report. It continues from
+// the present state and dissolves no group.
 func TestNewHolderTakesOver(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		before := map[string]fleet.Membership{}
 		for id, w := range f.workers {
 			before[id] = w.Member
@@ -448,12 +449,12 @@
 	})
 }
 
-// Holders follow each other while orders are carried out late. What one
-// ordered must not undo, later, what the next one formed.
+// The lease changes holders while orders are carried out late. A late order of one
+// holder must not undo what the next holder formed.
 func TestHoldersChangeWhileOrdersAreLate(t *testing.T) {
 	for seed := range uint64(15) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFarm(seed, 2, 11)
+			f := newFakeZone(seed, 2, 11)
 			first := manage(f, true)
 			defer first.stop(t)
 			time.Sleep(40 * time.Second)
@@ -462,7 +463,7 @@
 			for range 4 {
 				member, head := memberOf(f, "small", 1)
 				f.mu.Lock()
-				f.lose = 0.6
+				f.lossRate = 0.6
 				f.mu.Unlock()
 				f.kill(member, false)
 				holder.manager.ReportStall(context.Background(), head)
@@ -473,41 +474,41 @@
 				holder.begun = true
 				time.Sleep(2 * time.Second)
 				f.mu.Lock()
-				f.lose = 0
+				f.lossRate = 0
 				f.mu.Unlock()
 				time.Sleep(20 * time.Second)
 			}
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			require.Empty(t, f.broken, "seed %d", seed)
+			require.Empty(t, f.violations, "seed %d", seed)
 		})
 	}
 }
 
-// Random losses, cuts and late orders, for many seeds: whatever happens, no
-// group opens without its members, and none is taken apart while it serves.
+// Random failures, partitions and late orders for many seeds: no group opens without
+// its members, and none is dissolved while it serves.
 func TestRandomTroubleKeepsGroupsWhole(t *testing.T) {
 	for seed := range uint64(25) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFarm(seed, 2, 11)
+			f := newFakeZone(seed, 2, 11)
 			n := manage(f, true)
 			defer n.stop(t)
 			time.Sleep(40 * time.Second)
 			n.begun = true
 			for range 14 {
-				f.trouble(n)
+				f.injectRandomFault(n)
 				time.Sleep(time.Duration(f.random.IntN(3000)) * time.Millisecond)
 			}
 			time.Sleep(30 * time.Second)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			require.Empty(t, f.broken, "seed %d", seed)
+			require.Empty(t, f.violations, "seed %d", seed)
 		})
 	}
 }
 
-// trouble does one random thing to a random worker.
-func (f *farm) trouble(n *node) {
+// injectRandomFault applies one random fault to a random endpoint.
+func (f *fakeZone) injectRandomFault(n *node) {
 	f.mu.Lock()
 	var ids []string
 	for id := range f.workers {
@@ -520,7 +521,7 @@
 		head = w.members[0]
 	}
 	kind := f.random.IntN(5)
-	f.lose = []float64{0, 0, 0.3}[f.random.IntN(3)]
+	f.lossRate = []float64{0, 0, 0.3}[f.random.IntN(3)]
 	f.mu.Unlock()
 	switch kind {
 	case 0:
--- a/formation/muted_test.go
+++ b/formation/muted_test.go
@@ -11,8 +11,8 @@
 	"redwinghall/formation"
 )
 
-// joiningGroup returns the workers of a large group that was told to join long
-// enough ago, of which the first shown show it in their entries, and a spare.
+// joiningGroup returns the workers of a large group that was ordered to join long
+// enough ago, and a spare. The entries of shown of the members show that they joined.
 func joiningGroup(now time.Time, shown int) []*formation.Worker {
 	var workers []*formation.Worker
 	for rank := range 7 {
@@ -32,10 +32,10 @@
 	return workers
 }
 
-// The head of a new group is cut off from the store as it joins. The others
-// wait for its entry to show it, and a whole group serves nobody for six
-// seconds. The group is formed anew without it, from the spare. Where most
-// entries are late, the store is slow, and the group must wait.
+// The head of a new group is partitioned from the store as it joins. The others wait
+// for its entry to show that it joined, and a complete group serves nobody for six
+// seconds. The group is formed again without it, with the spare. If most entries are
+// late, the store is slow, and the group must wait.
 func TestMemberWhoseEntryStandsStillIsLeftOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		shown   int
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			zone := &formation.Zone{
-				Engine: farmEngine(), Workers: joiningGroup(now, c.shown),
+				Engine: defaultEngine(), Workers: joiningGroup(now, c.shown),
 				Progressing: func(string) bool { return false }, History: func(string) formation.GroupHistory { return formation.GroupHistory{FormedHere: true} },
 				NextEpoch: func() int64 { return 10 },
 			}
--- a/formation/notes.go
+++ b/formation/notes.go
@@ -6,11 +6,11 @@
 	"redwinghall/fleet"
 )
 
-// trackEndpoint returns the worker of an endpoint, with what is remembered of it.
+// trackEndpoint returns the worker of an endpoint, with the state kept about it.
 func (m *Manager) trackEndpoint(now time.Time, e *fleet.Endpoint) *Worker {
 	n, ok := m.endpoints[e.ID]
 	if !ok || n.born != e.Born {
-		// A process that starts again under its id knows nothing of before.
+		// A process that restarts under the same id has lost its membership.
 		if ok && e.Born > n.born {
 			m.recordReportedMembership(now, n.reported, fleet.Membership{})
 		}
@@ -33,8 +33,8 @@
 	return w
 }
 
-// updateMembership works out an endpoint's membership from its entry and from the
-// order that it was given last.
+// updateMembership derives an endpoint's membership from its entry and from the last
+// order sent to it.
 func (m *Manager) updateMembership(now time.Time, n *endpointState) {
 	w := &n.worker
 	e := w.Endpoint
@@ -66,10 +66,10 @@
 }
 
 // delayRejoin keeps an endpoint that left a group from joining another one while an
-// order to join the old one may be on its way.
+// order to join the old one may still be in flight.
 //
-// Guard: an order that got no answer may be carried out late, and puts the
-// endpoint back into the group that it left, whose head may still be open.
+// An order that got no answer may be carried out late and put the endpoint back into
+// the group that it left, whose head may still be open.
 func (n *endpointState) delayRejoin(group string) {
 	if group != "" && n.unansweredJoin == group {
 		n.worker.RejoinUntil = n.unansweredJoinUntil
--- a/formation/orders.go
+++ b/formation/orders.go
@@ -11,7 +11,7 @@
 	"redwinghall/platform"
 )
 
-// send gives one order, and notes its expected effect.
+// send sends one order and records its expected effect.
 func (m *Manager) send(ctx context.Context, now time.Time, s Step) {
 	id := s.Endpoint.ID
 	if m.sending[id] {
@@ -55,8 +55,9 @@
 	})
 }
 
-// recordOutcome takes in what came of an order for the groups. from is the
-// endpoint's membership, and before its group's past, when the order was given.
+// recordOutcome updates the group state with the outcome of an order. from is the
+// endpoint's membership, and before the history of the order's group, at the time the
+// order was sent.
 func (m *Manager) recordOutcome(now time.Time, n *endpointState, order fleet.Order, from fleet.Membership, before GroupHistory, outcome fleet.Outcome) {
 	switch order.Kind {
 	case fleet.OrderLeave:
@@ -73,15 +74,15 @@
 	}
 }
 
-// settleOverlay takes in that an order changed nothing: the entry already tells
-// how things are.
+// settleOverlay drops the overlay if the order changed nothing, as the entry already
+// shows the membership.
 //
-// Guard: of a join it may not tell yet. Where the store is slow, an endpoint
-// answers that it has joined before its entry shows it; taken for the truth, the
-// old entry dissolves the group, and its members wait for seconds.
+// For a completed join the overlay is renewed instead. With a slow store, an endpoint
+// answers that it has joined before its entry shows it. Relying on the old entry would
+// dissolve the group and leave its members waiting for seconds.
 func (m *Manager) settleOverlay(now time.Time, n *endpointState, kind fleet.OrderKind, outcome fleet.Outcome) {
 	switch {
-	case kind == fleet.OrderStage: // says nothing of the membership
+	case kind == fleet.OrderStage: // doesn't affect the membership
 	case outcome == fleet.Done && kind == fleet.OrderJoin:
 		n.overlaidAt = now
 	case outcome == fleet.Done && kind == fleet.OrderLeave:
@@ -92,16 +93,16 @@
 
 // confirmReady asks all members of a group whether they are ready in it.
 //
-// Guard: entries may be seconds old. A member that crashed and came back looks
-// ready in its old entry, and a group that opens on that word serves without
-// it. So each member is asked itself right before the order to open.
+// Entries may be seconds old. A member that crashed and restarted still looks ready in
+// its old entry, and a group opened on that basis would serve without it. So each
+// member is asked directly before the order to open is sent.
 func (m *Manager) confirmReady(ctx context.Context, s Step) bool {
 	answers := make(chan bool, len(s.Members))
 	for _, e := range s.Members {
 		m.group.Go("confirm_ready", func(context.Context) error {
 			report, err := m.Orderer.Report(ctx, e)
-			// A report may lag behind the entry, which says ready: what counts is
-			// that it is the same membership.
+			// The report's state may lag behind the entry, which already says ready.
+			// What matters is that it shows the same membership.
 			ready := err == nil && report.Member.Group == s.Order.Group && report.Member.Epoch == s.Order.Epoch
 			if !ready {
 				m.suspectMember(e, report, err)
@@ -117,7 +118,8 @@
 	return all
 }
 
-// suspectMember keeps an endpoint that contradicts its entry out of groups for a while.
+// suspectMember keeps an endpoint that contradicts its entry out of groups for
+// suspectDuration.
 func (m *Manager) suspectMember(e *fleet.Endpoint, report fleet.Report, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,7 +129,7 @@
 	}
 }
 
-// recordLeave notes that an endpoint answered that it recordLeave its group.
+// recordLeave records that an endpoint confirmed leaving its group.
 func (m *Manager) recordLeave(now time.Time, n *endpointState, from fleet.Membership) {
 	n.overlay, n.overlaidAt = fleet.Membership{}, now
 	n.delayRejoin(from.Group)
@@ -136,7 +138,7 @@
 	}
 }
 
-// overlay notes what an order does before the endpoint's entry shows it.
+// overlay records the effect of an order before the endpoint's entry shows it.
 func (m *Manager) overlay(now time.Time, n *endpointState, s Step) {
 	order := s.Order
 	next := n.worker.Member
@@ -148,7 +150,7 @@
 	case fleet.OrderClose:
 		next.State = fleet.Closing
 	case fleet.OrderLeave, fleet.OrderStage:
-		return // what counts is that it was done
+		return // takes effect only once it is confirmed
 	}
 	n.overlay, n.overlaidAt = next, now
 }
--- a/formation/past.go
+++ b/formation/past.go
@@ -6,13 +6,13 @@
 	"redwinghall/fleet"
 )
 
-// groupState is what the manager remembers of a group between plans.
+// groupState is what the manager keeps about a group between plans.
 type groupState struct {
 	GroupHistory
-	seenAt time.Time // when it was last heard of or given an order
+	seenAt time.Time // when an entry last named it or an order was last sent to it
 }
 
-// trackGroup returns the note of a group, a new one if there is none.
+// trackGroup returns the state of a group and creates it if there is none.
 func (m *Manager) trackGroup(now time.Time, group string) *groupState {
 	g, ok := m.groups[group]
 	if !ok {
@@ -31,7 +31,7 @@
 	return GroupHistory{}
 }
 
-// pruneGroups drops what is known of groups that are long gone.
+// pruneGroups drops the state of groups not seen for stateRetention.
 func (m *Manager) pruneGroups(now time.Time) {
 	for name, g := range m.groups {
 		if now.Sub(g.seenAt) > stateRetention {
@@ -40,8 +40,8 @@
 	}
 }
 
-// recordOrder notes what an order that is about to be given does to the groups.
-// Until its answer is there, an order to open counts as one without an answer.
+// recordOrder records how an order that is about to be sent affects the groups. Until
+// it is answered, an order to open counts as unanswered.
 func (m *Manager) recordOrder(now time.Time, from fleet.Membership, order fleet.Order) {
 	if order.Kind == fleet.OrderStage {
 		return
@@ -61,8 +61,9 @@
 	}
 }
 
-// recordOpenOutcome notes what came of an order to open a group, before which its past
-// was another. An order that was refused or never given leaves that as it was.
+// recordOpenOutcome records the outcome of an order to open a group. before is the
+// group's history at the time of the order; it is restored if the order was refused or
+// never sent.
 func (m *Manager) recordOpenOutcome(now time.Time, group string, before GroupHistory, outcome fleet.Outcome) {
 	g := m.trackGroup(now, group)
 	switch outcome {
@@ -75,7 +76,8 @@
 	}
 }
 
-// recordReportedMembership takes in that an endpoint's own word of its membership changed.
+// recordReportedMembership records a change of the membership that an endpoint reports
+// in its entry.
 func (m *Manager) recordReportedMembership(now time.Time, before, after fleet.Membership) {
 	if isHead(before) && (!isHead(after) || after.Group != before.Group) {
 		m.trackGroup(now, before.Group).HeadLeft = true
--- a/formation/pending_test.go
+++ b/formation/pending_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An empty VM takes a model in, which lasts for seconds, and meanwhile the node that forms
-// groups called the store four times a second for news of it. It does so only while
-// a group forms or ends.
+// While an empty VM loaded a model, which takes seconds, the node that forms groups
+// polled the store four times a second for changes. It does so only while a group forms
+// or ends.
 func TestStandbyThatLoadsIsNotPending(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		time.Sleep(3 * time.Second)
 		require.False(t, n.manager.Pending())
 		loads := f.loads
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -7,81 +7,85 @@
 	"redwinghall/fleet"
 )
 
-// Weights and times of a plan.
+// Weights and timing of a plan.
 const (
 	// switchTime is the loading time that halves the worth of forming a group.
 	switchTime = 4 * time.Second
-	// reloadDelay is how long free VMs wait for a lost member to come back
-	// before they are loaded with another model. VMs that crashed come
-	// back with their model still in the host's memory.
+	// reloadDelay is how long free VMs wait for a lost member to come back before they
+	// load another model. VMs that crashed come back with their model still in host
+	// memory.
 	reloadDelay = 6 * time.Second
-	// loadDelay is how long a worker must be free before it loads a model: VMs
-	// of a domain that was dark come back over half a second, and the first
-	// should not be loaded with what the whole domain doesn't need.
+	// loadDelay is how long a worker must be free before it loads a model: the VMs of a
+	// domain that was down come back over half a second, and the first ones should not
+	// load what the whole domain doesn't need.
 	loadDelay = time.Second
-	// slowPenalty puts slow workers last when a group is formed.
+	// slowPenalty ranks slow workers last when a group is formed.
 	slowPenalty = 10 * time.Second
-	// unlistedPenalty puts those without an entry behind equals, so that they
-	// don't become heads.
+	// unlistedPenalty ranks workers without an entry behind otherwise equal ones, so
+	// that they don't become heads.
 	unlistedPenalty = 100 * time.Millisecond
-	// stagedBonus favours the model that a standby has already.
+	// stagedBonus favours the model that a standby already has loaded or staged.
 	stagedBonus = 1.2
-	// drainGrace is how long a group without a replacement goes on serving
-	// after a member said that it leaves.
+	// drainGrace is how long a group without a replacement keeps serving after a member
+	// announced that it is leaving.
 	drainGrace = 2500 * time.Millisecond
-	// orderRetryInterval is when an order without visible effect is given again.
+	// orderRetryInterval is the time after which an order without visible effect is
+	// sent again.
 	orderRetryInterval = 1200 * time.Millisecond
-	// entryLagLimit is how much later than those of the others of its group a
+	// entryLagLimit is how much later than the entries of the rest of its group a
 	// member's entry may show that it joined.
 	entryLagLimit = 900 * time.Millisecond
-	// openSettleTime is how long after an order to open a head may still look as if
-	// it were not open: it takes the formation's time, and the entry's way.
+	// openSettleTime is how long after an order to open a head may still appear not to
+	// be open: it covers the formation time and the propagation of the entry.
 	openSettleTime = 2500 * time.Millisecond
-	// closeTimeout is when a group that finishes its work is told to end it.
+	// closeTimeout is the time after which a closing group is ordered to cancel its
+	// remaining work.
 	closeTimeout = 1500 * time.Millisecond
-	// gracefulCloseTimeout is the same where no member is about to leave: longer than
-	// most streams take.
+	// gracefulCloseTimeout replaces closeTimeout if no member is about to leave. It is
+	// longer than most streams take.
 	gracefulCloseTimeout = 4 * time.Second
-	// joinGrace bounds how long a member may take to join beyond its load.
+	// joinGrace limits how long joining may take beyond the load.
 	joinGrace = 3 * time.Second
-	// warmJoinTime is the time of a join where the VM's last group had the model.
+	// warmJoinTime is the time of a join if the VM's last group had the same model.
 	warmJoinTime = 200 * time.Millisecond
 )
 
-// Step is one order for one endpoint, with why it is given.
+// Step is one order for one endpoint, with the reason for it.
 type Step struct {
 	Endpoint *fleet.Endpoint
 	Order    fleet.Order
 	Why      string
-	// Loads says that the order makes the VM load from the weight store.
+	// Loads reports whether the order makes the VM load from the weight store.
 	Loads bool
-	// Members are, of an order to open, all members of the group.
+	// Members holds all members of the group; set for orders to open only.
 	Members []*fleet.Endpoint
-	// Proof is, of an order to join, why the VM may join another group.
+	// Proof is the reason why the VM may join another group; set for orders to join
+	// only.
 	Proof Proof
 }
 
-// Zone is what a plan is made from.
+// Zone is the input of a plan.
 type Zone struct {
 	Engine  *fleet.Engine
 	Workers []*Worker
 	// Progressing reports whether a head's streams advance.
 	Progressing func(endpointID string) bool
-	// History returns what this holder knows of a group beside its members' words.
+	// History returns what this holder knows of a group beside its members' reports.
 	History func(group string) GroupHistory
-	// Startup says that no request has come yet: loads are quick and free.
+	// Startup reports whether the deployment starts for the first time and no request
+	// has arrived yet: loads are fast and don't count against the budget.
 	Startup bool
-	// Demand is how many requests each model's groups have, smoothed; nil where
-	// that isn't known.
+	// Demand is the smoothed number of requests in the groups of each model; nil if not
+	// known.
 	Demand map[string]float64
 	// Loads is how many loads from the weight store may start now, and StageAtOnce how
-	// many workers may take a model in at the same time while they serve.
+	// many workers may stage a model at the same time while they serve.
 	Loads, StageAtOnce int
-	// NextEpoch returns a new epoch, higher than all before.
+	// NextEpoch returns a new epoch, higher than all earlier ones.
 	NextEpoch func() int64
 }
 
-// Plan returns the orders that bring a zone nearer to serving its models.
+// Plan returns the orders that move a zone towards serving its models.
 func (z *Zone) Plan(now time.Time) []Step {
 	for _, w := range z.Workers {
 		w.loading = ""
@@ -91,7 +95,7 @@
 		zone: z, now: now, free: map[string][]*Worker{}, held: map[string][]*Worker{}, dismantled: map[string]bool{},
 		serving: map[string]int{}, reserved: map[string]int{}, shares: z.shares(),
 	}
-	p.loading = p.stagingNow()
+	p.stagingCount = p.stagingNow()
 	for _, g := range groups {
 		p.reconcile(g)
 	}
@@ -110,28 +114,28 @@
 	return p.steps
 }
 
-// planner is a plan in the making.
+// planner builds one plan.
 type planner struct {
 	zone  *Zone
 	now   time.Time
 	steps []Step
 	// free holds the workers of each domain that may join another group.
 	free map[string][]*Worker
-	// held are free workers that are kept while others are gathered to join them,
-	// taken are the names of the groups that are taken apart for that.
+	// held holds free workers that are reserved while the other members of their group
+	// are obtained, and dismantled the names of the groups dismantled for that.
 	held       map[string][]*Worker
 	dismantled map[string]bool
-	// shares are the models' parts of the VMs.
+	// shares holds each model's share of the VMs.
 	shares map[string]float64
 	// serving counts the workers in groups of each model.
 	serving map[string]int
-	// draining are groups that serve until a replacement is there, reserved
-	// counts the workers of each domain that are meant as one.
+	// draining holds groups that serve until a replacement is available, and reserved
+	// counts the workers of each domain set aside as replacements.
 	draining      []*group
-	openable      []*group // ready to open
-	openGroups    []*group // open, and whole
-	loading       int      // workers that take a model in while they serve
-	closingGroups []*group // finishing their streams
+	openable      []*group // every member is ready
+	openGroups    []*group // open and complete
+	stagingCount  int      // workers that stage a model while they serve
+	closingGroups []*group // complete, and finishing their streams
 	reserved      map[string]int
 }
 
@@ -142,11 +146,11 @@
 	p.steps = append(p.steps, Step{Endpoint: w.Endpoint, Order: order, Why: why})
 }
 
-// freeWorker lets a worker join another group if that is proven to be safe, and
-// reports whether it is. Nothing else makes workers free.
-func (p *planner) freeWorker(w *Worker, s Evidence) bool {
-	s.Member, s.RejoinUntil = w.Member, w.RejoinUntil
-	w.proof = s.Proof(p.now)
+// freeWorker lets a worker join another group if that is proven to be safe, and reports
+// whether it is. No other code makes workers free.
+func (p *planner) freeWorker(w *Worker, e Evidence) bool {
+	e.Member, e.RejoinUntil = w.Member, w.RejoinUntil
+	w.proof = e.Proof(p.now)
 	if w.proof == Unproven {
 		return false
 	}
@@ -154,8 +158,8 @@
 	return true
 }
 
-// replace closes the groups with a leaving or slow member once a replacement is there,
-// or shortly before the member goes.
+// replace closes the groups that have a leaving or slow member once a replacement is
+// available, or shortly before the member leaves.
 func (p *planner) replace() {
 	for _, g := range p.draining {
 		spare := p.spares(g) >= g.unfit()
@@ -172,7 +176,8 @@
 	}
 }
 
-// openReady opens the groups that are ready, unless a slow member can be replaced.
+// openReady opens the groups whose members are all ready, unless a slow member can be
+// replaced.
 func (p *planner) openReady() {
 	for _, g := range p.openable {
 		if p.dismantled[g.name] {
--- a/formation/probes.go
+++ b/formation/probes.go
@@ -7,9 +7,9 @@
 	"k8s.io/klog/v2"
 )
 
-// ReportStall tells the manager that little or nothing moves in the group of an
-// endpoint. It asks all VMs of the domain, so that it knows which members are
-// lost or slow, and which others could replace them.
+// ReportStall tells the manager that an endpoint's group makes little or no progress.
+// The manager probes all VMs of the domain to find out which members are lost or slow
+// and which other VMs could replace them.
 func (m *Manager) ReportStall(ctx context.Context, headID string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -32,7 +32,7 @@
 	}
 }
 
-// probe asks one endpoint whether it is alive.
+// probe asks one endpoint for a report.
 func (m *Manager) probe(ctx context.Context, n *endpointState) {
 	endpoint := n.worker.Endpoint
 	m.group.Go("probe", func(context.Context) error {
@@ -51,7 +51,7 @@
 	})
 }
 
-// recordPace notes an endpoint that says that it works slower than it should.
+// recordPace records whether an endpoint reports that it works slower than it should.
 func (m *Manager) recordPace(now time.Time, n *endpointState, pace float64) {
 	if pace < slowPace {
 		n.slowUntil = time.Time{}
--- a/formation/proof_test.go
+++ b/formation/proof_test.go
@@ -10,9 +10,9 @@
 	"redwinghall/formation"
 )
 
-// Callers wait on a head whose members were joined elsewhere. What seems to
-// prove that a head serves no longer is often older than an order that makes it
-// serve, or is no word of the head at all.
+// Requests stalled at a head whose members were joined to other groups. What seems to
+// prove that a head no longer serves is often older than an order that makes it serve,
+// or isn't a report of the head at all.
 func TestWhatProvesThatAVMMayJoin(t *testing.T) {
 	now := time.Unix(1000, 0)
 	before, after := now.Add(-10*time.Second), now.Add(-time.Second)
@@ -22,7 +22,7 @@
 	}
 	told := formation.GroupHistory{FormedHere: true, OpenOrdered: true, OpenUntil: now.Add(-5 * time.Second)}
 	for name, c := range map[string]struct {
-		standing formation.Evidence
+		evidence formation.Evidence
 		proof    formation.Proof
 	}{
 		"belongs to no group":                {formation.Evidence{}, formation.ProofNoGroup},
@@ -44,7 +44,7 @@
 		"an order to open may be on its way": {formation.Evidence{Member: in, Head: head(fleet.Ready), HeadSince: after, History: formation.GroupHistory{FormedHere: true, OpenOrdered: true, OpenUntil: now}}, formation.Unproven},
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, c.proof, c.standing.Proof(now))
+			require.Equal(t, c.proof, c.evidence.Proof(now))
 		})
 	}
 }
--- a/formation/reconcile.go
+++ b/formation/reconcile.go
@@ -4,8 +4,8 @@
 	"redwinghall/fleet"
 )
 
-// reconcile looks at one group: it opens one that is ready, ends one that lost
-// a member, and sets the members free of one that serves nobody.
+// reconcile decides what happens to one group: it queues a ready group for opening,
+// closes one that lost a member, and frees the members of one that doesn't serve.
 func (p *planner) reconcile(g *group) {
 	switch {
 	case g.standby:
@@ -21,12 +21,13 @@
 	case g.head().Member.State == fleet.Broken || !g.complete() || g.head().Unlisted:
 		p.release(g)
 	case p.zone.History(g.name).MembersRemoved:
-		// An order that takes a member away may still be carried out: a group
-		// that opened again would lose it while it serves.
+		// An order that removes a member may still be carried out: a group opened again
+		// now would lose that member while it serves.
 		p.release(g)
 	case g.ready() && !p.zone.History(g.name).FormedHere:
-		// An earlier holder's orders may still be carried out, under higher
-		// epochs than this group's. A group of our own outlasts them.
+		// An earlier holder's orders may still be carried out, with higher epochs than
+		// this group's. A group formed by this holder has a higher epoch than any of
+		// them.
 		p.release(g)
 	case g.ready():
 		p.openable = append(p.openable, g)
@@ -37,11 +38,11 @@
 
 func (p *planner) countServing(g *group) { p.serving[g.model.Name] += g.model.Size }
 
-// reconcileOpen looks at a group that serves.
+// reconcileOpen handles a group that is open.
 //
-// Guard: a group that lost a member goes on accepting requests, and nothing
-// moves. It is closed at once, so that its callers go elsewhere and its other
-// members are of use again.
+// A group that lost a member keeps accepting requests although nothing progresses. It
+// is closed at once, so that its callers are sent elsewhere and its other members can
+// be reused.
 func (p *planner) reconcileOpen(g *group) {
 	switch {
 	case g.complete():
@@ -51,8 +52,8 @@
 			p.draining = append(p.draining, g)
 		}
 	case g.onlySilent() && p.zone.Progressing(g.head().Endpoint.ID):
-		// Members that are cut off from here and from the store may still serve
-		// with the others: what the streams show goes first.
+		// Members that neither this node nor the store reaches may still serve with the
+		// others: the progress of the streams takes precedence.
 		p.countServing(g)
 	case g.hasLostMember() || !g.known:
 		p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "member_lost")
@@ -64,18 +65,18 @@
 
 func (p *planner) reconcileClosing(g *group) {
 	since := p.now.Sub(g.head().ChangedAt)
-	patience := closeTimeout
+	timeout := closeTimeout
 	if g.complete() && g.unfit() == 0 {
 		p.closingGroups = append(p.closingGroups, g)
-		patience = gracefulCloseTimeout
+		timeout = gracefulCloseTimeout
 	}
-	if g.hasLostMember() || since > patience {
+	if g.hasLostMember() || since > timeout {
 		p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "closing_takes_long")
 	}
 }
 
-// reconcileJoining waits for members, and gives the order again to those that show no
-// sign of it.
+// reconcileJoining waits for members to join, and repeats the order to those whose
+// entry doesn't show the membership.
 func (p *planner) reconcileJoining(g *group) {
 	if p.excludeStaleMembers(g) {
 		p.release(g)
@@ -92,12 +93,13 @@
 	}
 }
 
-// excludeStaleMembers reports whether a member's entry doesn't show that it joined, although
-// the entries of most others do, and leaves that member out for a while.
+// excludeStaleMembers reports whether some members' entries don't show that they joined
+// although those of most others do, and keeps these members out of groups for
+// suspectDuration.
 //
-// Guard: an endpoint that is cut off from the store, and from nothing else,
-// takes the order, and its entry stays as it was until it lapses.
-// The group waits for it, and those of its members that are fit serve nobody.
+// An endpoint that is partitioned from the store, but from nothing else, accepts the
+// order, and its entry stays unchanged until it expires. The group would wait for it,
+// and its healthy members would serve nobody.
 func (p *planner) excludeStaleMembers(g *group) bool {
 	var late []*Worker
 	shown := 0
@@ -111,7 +113,7 @@
 		}
 	}
 	if len(late) == 0 || 2*shown < g.size() {
-		return false // where most are late, the store is slow
+		return false // if most are late, the store is slow
 	}
 	for _, w := range late {
 		w.StaleEntryUntil = p.now.Add(suspectDuration)
@@ -120,7 +122,7 @@
 	return true
 }
 
-// members returns the ids of a whole group in the order of their ranks.
+// members returns the ids of a complete group's members in rank order.
 func (g *group) members() []string {
 	ids := make([]string, 0, g.size())
 	for rank := range g.size() {
@@ -133,29 +135,29 @@
 	return ids
 }
 
-// release takes a group apart that serves nobody, or whose head can't be
-// reached. Members that are proven to be free may join another one; the others
-// are told to leave, and are free once they have said that they did.
+// release dissolves a group that doesn't serve or whose head can't be reached. Members
+// that are proven to be free may join another group; the others are ordered to leave
+// and are free once they have confirmed it.
 //
-// Guard: an order to open that got no answer may be carried out seconds later.
-// If the members had joined other groups by then, the head would accept
-// requests that nobody works on. So the head leaves first where it is reached:
-// its word frees all others at once.
+// An order to open that got no answer may be carried out seconds later. If the members
+// had joined other groups by then, the head would accept requests that nobody works on.
+// So a reachable head is ordered to leave first: its confirmation frees all others at
+// once.
 func (p *planner) release(g *group) {
-	standing := g.evidence(p.zone)
-	if p.provenEnded(g, standing) || !g.headReachable() {
-		p.releaseMembers(g, standing)
+	evidence := g.evidence(p.zone)
+	if p.provenEnded(g, evidence) || !g.headReachable() {
+		p.releaseMembers(g, evidence)
 		return
 	}
 	p.issue(g.head(), fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "may_open_late")
 }
 
-func (p *planner) releaseMembers(g *group, standing Evidence) {
+func (p *planner) releaseMembers(g *group, evidence Evidence) {
 	for _, w := range g.byRank {
 		if !w.usable() {
 			continue
 		}
-		if !p.freeWorker(w, standing) {
+		if !p.freeWorker(w, evidence) {
 			p.issue(w, fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "head_unreachable")
 			continue
 		}
@@ -165,8 +167,8 @@
 	}
 }
 
-// provenEnded reports whether a group is proven to serve no longer.
-func (p *planner) provenEnded(g *group, standing Evidence) bool {
-	standing.Member = fleet.Membership{Group: g.name, Epoch: g.epoch}
-	return standing.Proof(p.now) != Unproven
+// provenEnded reports whether a group is proven not to serve any more.
+func (p *planner) provenEnded(g *group, evidence Evidence) bool {
+	evidence.Member = fleet.Membership{Group: g.name, Epoch: g.epoch}
+	return evidence.Proof(p.now) != Unproven
 }
--- a/formation/split.go
+++ b/formation/split.go
@@ -7,17 +7,17 @@
 	"redwinghall/fleet"
 )
 
-// splitRounds bounds how often the domains are gone through; the second round
-// mostly changes nothing.
+// splitRounds limits the number of passes over the domains; the second pass rarely
+// changes anything.
 const splitRounds = 4
 
-// split decides how many groups of each model each domain gets, so that the
-// models are supplied as evenly as their shares ask: the sum over models of
-// share x log(VMs) is highest. Domains are improved one after the other, given
-// what the others have.
+// split decides how many groups of each model each domain gets. It maximizes the sum
+// over models of share x log(VMs), which supplies the models in proportion to their
+// shares. Domains are optimized one after the other, given the choices for the other
+// domains.
 //
-// Taking one group after the other, the worthiest first, would give models the
-// same number of VMs where their shares differ.
+// A greedy choice of the group with the highest worth would give models the same number
+// of VMs although their shares differ.
 func split(models []fleet.Model, sizes map[string]int, serving map[string]int) map[string][]int {
 	domains := make([]string, 0, len(sizes))
 	for domain := range sizes {
@@ -39,7 +39,7 @@
 	return chosen
 }
 
-// supplied returns the VMs of each model in all domains but one.
+// supplied returns the VMs of each model in all domains except one.
 func supplied(models []fleet.Model, chosen map[string][]int, but string, serving map[string]int) []int {
 	vms := make([]int, len(models))
 	for i, m := range models {
@@ -56,7 +56,7 @@
 	return vms
 }
 
-// bestFor returns the counts of groups for one domain.
+// bestFor returns the best group counts for one domain.
 func bestFor(models []fleet.Model, size int, others []int) []int {
 	var best []int
 	worth := math.Inf(-1)
--- a/formation/split_test.go
+++ b/formation/split_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The models' shares are 2 to 1, and yet both get the same number of VMs,
-// because small groups were placed first and left no room for large ones.
+// The models' shares are 2 to 1, but both got the same number of VMs because small
+// groups were placed first and left no room for large ones.
 func TestFirstGroupsFollowTheShares(t *testing.T) {
 	for name, c := range map[string]struct {
 		domains, size, large, small int
@@ -23,11 +23,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFarm(1, c.domains, c.size)
+				f := newFakeZone(1, c.domains, c.size)
 				n := manage(f, true)
 				defer n.stop(t)
 				time.Sleep(40 * time.Second)
-				require.Equal(t, fmt.Sprint(c.large, c.small), fmt.Sprint(len(f.whole("large")), len(f.whole("small"))))
+				require.Equal(t, fmt.Sprint(c.large, c.small), fmt.Sprint(len(f.servingHeads("large")), len(f.servingHeads("small"))))
 			})
 		})
 	}
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -6,25 +6,26 @@
 	"redwinghall/fleet"
 )
 
-// stagedDivisor is which part of a large group's members can be replaced at once.
+// stagedDivisor sets how many replacements are kept staged: the size of the large group
+// divided by it.
 const stagedDivisor = 2
 
-// stageRetryFactor is after how many times its loading time an order to stage a model
-// that shows no effect is given again.
+// stageRetryFactor times a model's load time is the time after which an order to stage
+// it that shows no effect is sent again.
 const stageRetryFactor = 2
 
-// stage lets members of small groups take a larger model into their hosts' memory
-// while they serve, so that they can replace lost members of its groups at once.
-// Half of a group's size is kept in each domain: the next loss may come before a
-// load ends, and a rest of less than half isn't made whole. A domain's only small group
-// is left alone: hosts that crash come back with what they have in memory, and it
-// would be gone for a load's time.
+// stage makes members of small groups stage a larger model in host memory while they
+// serve, so that they can replace lost members of its groups at once. Half of a group's
+// size is kept staged in each domain: the next loss may happen before a load ends, and
+// a group with less than half of its members left isn't rebuilt. A domain's only small
+// group is left alone: hosts that crash come back with what they have in memory, and
+// that group would be gone for a whole load.
 //
-// Gain: a VM that stands by for a loss serves nobody meanwhile; these do.
+// Unlike VMs that are kept idle as standbys, these VMs keep serving.
 func (p *planner) stage() {
 	if p.zone.Startup {
 		if p.forming() {
-			return // first the groups: loads slow each other down
+			return // groups come first, as loads slow each other down
 		}
 		p.stageInAdvance()
 	}
@@ -38,7 +39,7 @@
 	}
 }
 
-// stageIn orders what a domain lacks of the VMs that have a model at hand.
+// stageIn orders the staging that a domain still needs for a model.
 func (p *planner) stageIn(domain string, model fleet.Model) {
 	missing := (model.Size + stagedDivisor - 1) / stagedDivisor
 	for _, w := range p.free[domain] {
@@ -69,8 +70,8 @@
 	}
 }
 
-// stageable returns the groups of a domain whose hosts may take in a larger
-// model, those first that have most of it.
+// stageable returns the groups of a domain whose hosts may stage a larger model, those
+// that have staged it on the most members first.
 func (p *planner) stageable(domain string, model fleet.Model) []*group {
 	var groups []*group
 	for _, g := range p.openGroups {
@@ -82,8 +83,8 @@
 	return groups
 }
 
-// staged counts the members of a group that have a model in the host's memory or
-// are taking it in.
+// staged counts the members of a group that have a model in host memory or are staging
+// it.
 func (p *planner) staged(g *group, model fleet.Model) int {
 	n := 0
 	for _, w := range g.byRank {
@@ -94,7 +95,7 @@
 	return n
 }
 
-// stagingNow counts the workers of the zone that take a model in while they serve.
+// stagingNow counts the workers of the zone that stage a model while they serve.
 func (p *planner) stagingNow() int {
 	n := 0
 	for _, w := range p.zone.Workers {
@@ -110,12 +111,12 @@
 	return w.Staging == model.Name && w.orderedWithin(fleet.OrderStage, p.now, stageRetryFactor*model.Load)
 }
 
-// stageOn lets a worker take a model in, if not too many do.
+// stageOn makes a worker stage a model unless the limit of concurrent loads is reached.
 //
-// Guard: the weight store gives all loads together so much; in a zone of many
-// domains what is loaded just in case would hold up what groups wait for.
+// The weight store's bandwidth is shared by all loads. In a zone of many domains,
+// speculative staging would delay the loads that groups wait for.
 func (p *planner) stageOn(w *Worker, model fleet.Model) {
-	if w.Endpoint.HasStaged(model.Name) || p.staging(w, model) || p.loading >= p.zone.StageAtOnce {
+	if w.Endpoint.HasStaged(model.Name) || p.staging(w, model) || p.stagingCount >= p.zone.StageAtOnce {
 		return
 	}
 	if !p.zone.Startup {
@@ -124,7 +125,7 @@
 		}
 		p.zone.Loads--
 	}
-	p.loading++
+	p.stagingCount++
 	order := fleet.Order{Kind: fleet.OrderStage, Model: model.Name}
 	p.steps = append(p.steps, Step{Endpoint: w.Endpoint, Order: order, Why: "stage_for_repair", Loads: true})
 }
@@ -142,7 +143,7 @@
 	return false
 }
 
-// hasGroup reports whether a model is served in a domain.
+// hasGroup reports whether a domain has an open group of a model.
 func (p *planner) hasGroup(domain string, model fleet.Model) bool {
 	for _, g := range p.openGroups {
 		if g.model.Name == model.Name && g.head().Endpoint.Domain == domain {
--- a/formation/standby.go
+++ b/formation/standby.go
@@ -6,8 +6,8 @@
 	"redwinghall/fleet"
 )
 
-// keepStandbys loads the workers that are left over with the models that they
-// may be needed for, so that the loss of a member costs a second instead of a load.
+// keepStandbys loads the workers that are left over with the models that they are most
+// likely needed for, so that replacing a lost member takes a second instead of a load.
 func (p *planner) keepStandbys() {
 	grouped := p.countByModel()
 	for _, domain := range sortedKeys(p.free) {
@@ -52,7 +52,7 @@
 	var best fleet.Model
 	most := 0.0
 	for _, m := range p.zone.Engine.Models {
-		// The first spare covers most of a model's losses, a second one few.
+		// The first standby covers most losses of a model, a second one few more.
 		need := (float64(groups[m.Name]) + 0.1*m.Share) / math.Pow(float64(1+count[m.Name]), 2)
 		if w.LastModel == m.Name || w.Endpoint.HasStaged(m.Name) || w.loading == m.Name {
 			need *= stagedBonus
@@ -67,11 +67,11 @@
 	}
 }
 
-// loadStandby lets a free worker take a model in, by a group of its own that
+// loadStandby makes a free worker load a model, as a standby group of its own that
 // never opens.
 func (p *planner) loadStandby(w *Worker, model fleet.Model, why string) {
 	if w.loading != "" {
-		return // one load after the other
+		return // one load at a time
 	}
 	loads := w.needsLoad(model)
 	if loads && !p.zone.Startup {
--- a/formation/unlisted.go
+++ b/formation/unlisted.go
@@ -11,44 +11,45 @@
 	"redwinghall/platform"
 )
 
-// Times of endpoints whose entry is missing.
+// Timing for endpoints whose entry is missing.
 const (
-	// unlistedTimeout is how long an endpoint without an entry counts after it
-	// last answered; until its first answer, it counts for unlistedGrace.
+	// unlistedTimeout is how long an endpoint without an entry counts as a member after
+	// its last answer. Until its first answer, it counts for unlistedGrace.
 	unlistedTimeout       = 1500 * time.Millisecond
 	unlistedGrace         = 900 * time.Millisecond
 	unlistedProbeInterval = 500 * time.Millisecond
-	// unlistedMaxFailures is how many questions without an answer make it lost.
+	// unlistedMaxFailures is the number of consecutive failed requests after which it
+	// counts as lost.
 	unlistedMaxFailures = 2
-	// unlistedAbsentFailures is how many make it not worth asking again.
+	// unlistedAbsentFailures is the number after which it isn't asked again.
 	unlistedAbsentFailures = 6
 	// unlistedProbePeriod is how long an endpoint without an entry is asked at all.
 	unlistedProbePeriod = 40 * time.Second
 	stateRetention      = 2 * time.Minute
 )
 
-// unlisted is what is known of an endpoint whose entry is missing.
+// unlisted is the state kept about an endpoint whose entry is missing.
 //
-// Guard: an endpoint that is cut off from the store, and from nothing else,
-// loses its entry while its group serves on. If the group were closed for
-// that, a store's trouble would end the service of good groups. So it is asked
-// itself, and counts as a member while it answers; only requests don't go to it.
+// An endpoint that is partitioned from the store, but from nothing else, loses its
+// entry while its group continues to serve. Closing the group for that would let a
+// store outage end the service of healthy groups. So the endpoint is asked directly and
+// counts as a member while it answers; only requests aren't routed to it.
 type unlisted struct {
 	since    time.Time
 	askedAt  time.Time
 	answered time.Time
 	fails    int
-	// absent says that nobody answers for it at its address: it isn't asked again.
+	// absent reports that nothing answers for the endpoint at its address; it isn't
+	// asked again.
 	absent bool
 }
 
-// addUnlisted adds the workers of a zone and service whose entry is missing
-// and that still answer.
+// addUnlisted adds the workers of a zone and service whose entry is missing and that
+// still answer.
 //
-// Guard: another process may stand at the address of one that ended, and
-// answers when the old one is asked. It would count twice, under both ids. So
-// an endpoint whose address another entry has counts no longer. That its own
-// group has ended isn't concluded from it.
+// Another process may listen at the address of one that ended and answer in its place.
+// It would count twice, under both ids. So an endpoint whose address appears in another
+// entry no longer counts. This doesn't prove that the old process's group has ended.
 func (m *Manager) addUnlisted(ctx context.Context, now time.Time, z *Zone, zone, service, healthPath string) {
 	taken := m.listedAddresses()
 	for id, n := range m.endpoints {
@@ -79,7 +80,7 @@
 	}
 }
 
-// listedAddresses returns the listedAddresses of all endpoints that have an entry.
+// listedAddresses returns the addresses of all endpoints that have an entry.
 func (m *Manager) listedAddresses() map[string]bool {
 	taken := map[string]bool{}
 	for _, e := range m.Book.View().Endpoints {
@@ -95,7 +96,8 @@
 	return now.Sub(u.answered) < unlistedTimeout && u.fails < unlistedMaxFailures
 }
 
-// askUnlisted asks an endpoint for its state, and once whether it is leaving.
+// askUnlisted asks an endpoint for its report, and until its first answer also whether
+// it is leaving.
 func (m *Manager) askUnlisted(ctx context.Context, now time.Time, n *endpointState, healthPath string) {
 	id := n.worker.Endpoint.ID
 	if m.probing[id] || now.Sub(n.unlisted.askedAt) < unlistedProbeInterval {
--- a/formation/worker.go
+++ b/formation/worker.go
@@ -6,43 +6,44 @@
 	"redwinghall/fleet"
 )
 
-// Worker is an endpoint as the planner sees it: its entry, overlaid with the
-// order that was given last and not yet shown, and with what was found out.
+// Worker is an endpoint as the planner sees it: its entry, overlaid with the effect of
+// the last order until the entry shows it, and with the results of probes.
 type Worker struct {
 	Endpoint *fleet.Endpoint
 	Member   fleet.Membership
-	// LastModel is the model of its last group since its start.
+	// LastModel is the model of the endpoint's last group since its process started.
 	LastModel string
-	// Suspect says that it didn't answer when it was asked.
+	// Suspect reports whether the endpoint recently failed to answer or contradicted
+	// its entry.
 	Suspect bool
-	// RejoinUntil is until when an order that got no answer may put it back into
-	// a group that it left.
+	// RejoinUntil is until when an unanswered order may put the endpoint back into a
+	// group that it left.
 	RejoinUntil time.Time
-	// OrderedAt is when it was last given an order of a kind.
+	// OrderedAt is when an order of each kind was last sent.
 	OrderedAt map[fleet.OrderKind]time.Time
-	// DrainingSince is when its entry first said that it leaves.
+	// DrainingSince is when the endpoint was first seen to be leaving.
 	DrainingSince time.Time
-	// FreeSince is when it was first seen without a group that serves.
+	// FreeSince is when the endpoint was first seen without a serving group.
 	FreeSince time.Time
-	// ChangedAt is when its membership last changed, and ShownAt when its own
-	// word of it last did.
+	// ChangedAt is when the membership last changed, and ReportedAt when the membership
+	// in the endpoint's entry last did.
 	ChangedAt  time.Time
 	ReportedAt time.Time
-	// Slow says that it works slower than it should.
+	// Slow reports whether the endpoint works slower than it should.
 	Slow bool
-	// Unlisted says that its entry is missing but it answers: it can be a
-	// member, but no head, as requests don't go to it.
+	// Unlisted reports that the endpoint's entry is missing. It can still be a member,
+	// but no head, as requests aren't routed to it.
 	Unlisted bool
-	// Silent says that it is unlisted and doesn't answer this node.
+	// Silent reports that the endpoint is unlisted and doesn't answer this node.
 	Silent bool
 
-	// Staging is the model that it was last told to take into its host's memory.
+	// Staging is the model that the endpoint was last ordered to stage in host memory.
 	Staging string
-	// StaleEntryUntil is until when its entry is known not to show what it does.
+	// StaleEntryUntil is until when the endpoint's entry is treated as stale.
 	StaleEntryUntil time.Time
 
-	loading string // the model that it takes in as a standby
-	proof   Proof  // why it may join another group
+	loading string // the model being loaded as a standby
+	proof   Proof  // why the endpoint may join another group
 }
 
 func (w *Worker) usable() bool {
@@ -55,8 +56,8 @@
 }
 
 // changePending reports whether the worker's entry is about to change in a way that the
-// next plan needs. A standby takes a model in for a load's time, and no group waits
-// for the moment in which it has it.
+// next plan needs. A standby's load takes long, and no group waits for the moment it
+// completes.
 func (w *Worker) changePending() bool {
 	if _, standby := parseName(w.Member.Group); standby {
 		return false
@@ -64,11 +65,11 @@
 	return w.Member.State == fleet.Joining || w.Member.State == fleet.Closing || w.Member != w.Endpoint.Member
 }
 
-// joinTime is how long the worker takes to join a group of a model.
+// joinTime estimates how long the worker takes to join a group of a model.
 func (w *Worker) joinTime(m fleet.Model, now time.Time) time.Duration {
 	switch {
 	case w.loading == m.Name:
-		// Not before it is done: a join would start the load anew.
+		// Not before the load is done: a join would restart it.
 		return max(0, m.Load-now.Sub(w.ChangedAt)) + m.Warm + warmJoinTime
 	case w.loading == "" && w.LastModel == m.Name:
 		return warmJoinTime
@@ -78,8 +79,8 @@
 	return max(m.Load, warmJoinTime) + m.Warm
 }
 
-// needsLoad reports whether the worker would have to load the model from the
-// weight store, and isn't doing so.
+// needsLoad reports whether the worker would have to load the model from the weight
+// store and isn't already doing so.
 func (w *Worker) needsLoad(m fleet.Model) bool {
 	if w.loading != "" {
 		return w.loading != m.Name
