--- a/formation/convert_test.go
+++ b/formation/convert_test.go
@@ -24,7 +24,7 @@
 // The demand has shifted: groups of the large model are nearly empty and those of the
 // small model are full. One large group is converted to the small model without a load;
 // the others stay, and no group is converted back.
-func TestDemandIsFollowed(t *testing.T) {
+func TestGroupsFollowDemand(t *testing.T) {
 	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 		loads := f.loads
 		for range 30 {
@@ -50,7 +50,7 @@
 
 // A lost large group is not rebuilt while the large model has spare capacity, since it
 // would be converted right away. Without spare capacity it is rebuilt.
-func TestGroupToSpareIsNotMadeWhole(t *testing.T) {
+func TestGroupWithSpareCapacityIsNotRebuilt(t *testing.T) {
 	for name, c := range map[string]struct {
 		demand map[string]float64
 		taken  int
--- a/formation/era_test.go
+++ b/formation/era_test.go
@@ -11,7 +11,7 @@
 // derived from the version alone would be lower than those of earlier orders that may
 // still be carried out. VMs would refuse the new orders, or leave their group for an
 // old one.
-func TestEpochsRiseAfterTheStoreWentBack(t *testing.T) {
+func TestEpochsRiseAfterStoreRestore(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		const versions = 1000
 		n.version = versions
--- a/formation/gather_test.go
+++ b/formation/gather_test.go
@@ -55,7 +55,7 @@
 
 // A large group that loses members in a full domain is rebuilt without a load, from the
 // members of a small group that had staged its model.
-func TestLargeGroupIsMadeWholeBySmallOnes(t *testing.T) {
+func TestLargeGroupIsRebuiltFromSmallOnes(t *testing.T) {
 	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 		loads := f.loads
 		failTwoMembers(f, n, 0)
@@ -92,7 +92,7 @@
 }
 
 // Losses of small groups dismantle no large group.
-func TestSmallGroupsTakeNothingApart(t *testing.T) {
+func TestSmallGroupLossDismantlesNothing(t *testing.T) {
 	runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 		w := f.servingHeads("small")[0]
 		f.kill(w.members[1], true)
@@ -107,7 +107,7 @@
 // Random failures, partitions and late orders while the demand changes: groups are
 // dismantled and converted, but none opens without its members or loses one while it
 // serves.
-func TestRandomTroubleWhileGroupsAreTakenApart(t *testing.T) {
+func TestRandomFaultsWhileGroupsAreDismantled(t *testing.T) {
 	for seed := range uint64(15) {
 		runPairs(t, func(t *testing.T, f *fakeZone, n *node) {
 			f.random = rand.New(rand.NewPCG(seed, 2))
@@ -123,7 +123,7 @@
 
 // Staging must not delay the loads that groups wait for: however many domains a zone
 // has, only a few VMs stage a model at the same time.
-func TestFewTakeAModelInAtOnce(t *testing.T) {
+func TestConcurrentStagingIsLimited(t *testing.T) {
 	zone := pairsZone()
 	zone.Loads, zone.StageAtOnce = 100, 3
 	for _, w := range zone.Workers {
--- a/formation/handover_test.go
+++ b/formation/handover_test.go
@@ -54,7 +54,7 @@
 
 // The store is restored from a copy in which the members of an open group belong to no
 // group. The lease holder must wait until they have written their entries again.
-func TestHolderWaitsUntilAReturnedStoreIsSettled(t *testing.T) {
+func TestHolderWaitsUntilRestoredStoreIsSettled(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		n.holds = false
 		current, restored := f.withOlderCopy(fleet.Position{Era: 1, Version: 50})
@@ -77,7 +77,7 @@
 
 // Entries arrive while the holder is about to plan. Its check finds that it has read up
 // to its lease position, but it would plan from a view taken before the check.
-func TestHolderPlansByWhatItChecked(t *testing.T) {
+func TestHolderPlansFromCheckedView(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		n.holds = false
 		current, old := f.withOlderCopy(fleet.Position{Version: 99})
--- a/formation/joining_test.go
+++ b/formation/joining_test.go
@@ -330,7 +330,7 @@
 
 // The same as TestNoVMIsInTwoGroups, while members of small groups replace those of
 // large ones and groups are converted to another model as the demand changes.
-func TestNoVMIsInTwoGroupsWhileGroupsAreTakenApart(t *testing.T) {
+func TestNoVMIsInTwoGroupsWhileGroupsAreDismantled(t *testing.T) {
 	seen := &caseCounts{}
 	rapid.Check(t, func(rt *rapid.T) {
 		events := faults().Draw(rt, "events")
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -229,7 +229,7 @@
 
 // A member that neither the store nor this node can reach may still serve with the
 // others. The group stays while its streams progress.
-func TestSilentMemberOfAMovingGroupStays(t *testing.T) {
+func TestSilentMemberOfProgressingGroupStays(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		member, head := memberOf(f, "large", 2)
 		group := f.workers[head].Member
@@ -346,7 +346,7 @@
 
 // A member is found to be slow while its group opens: the head has been ordered to open
 // and doesn't show it yet. The group must not be dissolved as if it were not open.
-func TestGroupIsNotTakenApartWhileItOpens(t *testing.T) {
+func TestGroupIsNotDissolvedWhileItOpens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeZone(1, 2, 11)
 		n := manage(f, true)
@@ -487,7 +487,7 @@
 
 // Random failures, partitions and late orders for many seeds: no group opens without
 // its members, and none is dissolved while it serves.
-func TestRandomTroubleKeepsGroupsWhole(t *testing.T) {
+func TestRandomFaultsKeepGroupsComplete(t *testing.T) {
 	for seed := range uint64(25) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFakeZone(seed, 2, 11)
--- a/formation/muted_test.go
+++ b/formation/muted_test.go
@@ -36,7 +36,7 @@
 // for its entry to show that it joined, and a complete group serves nobody for six
 // seconds. The group is formed again without it, with the spare. If most entries are
 // late, the store is slow, and the group must wait.
-func TestMemberWhoseEntryStandsStillIsLeftOut(t *testing.T) {
+func TestMemberWithStaleEntryIsExcluded(t *testing.T) {
 	for name, c := range map[string]struct {
 		shown   int
 		without string
