--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -203,7 +203,7 @@
 		for _, id := range ids {
 			old := f.workers[id]
 			old.dead, old.unresponsive = false, false
-			old.Born, old.last, old.Member, old.members, old.Models = 2, "", fleet.Membership{}, nil, nil
+			old.StartedMillis, old.last, old.Member, old.members, old.Models = 2, "", fleet.Membership{}, nil, nil
 			f.publishEntry(old)
 		}
 		f.mu.Unlock()
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -44,17 +44,17 @@
 	ticket := tickets.Open()
 	defer tickets.Close(ticket)
 	request := c.placement(ask)
-	request.Ticket, request.Shunned = ticket, c.g.Tracker.Shunned(time.Now(), heads)
+	request.Ticket, request.InBackoff = ticket, c.g.Tracker.Shunned(time.Now(), heads)
 	placement, ok := c.g.Placer.Place(ctx, ask.Zone, request)
 	switch {
 	case !ok:
 		return dispatched{}, false
 	case placement.Endpoint == "":
-		klog.InfoS("dispatcher_has_no_room", "request", c.r.Ask.ID, "predicted", placement.Predicted, "elsewhere", placement.Elsewhere,
+		klog.InfoS("dispatcher_has_no_room", "request", c.r.Ask.ID, "predicted", placement.Predicted, "elsewhere", placement.AlternativeZone,
 			"limited_for", placement.LimitedFor)
 		// Without a prediction or a limit it knows of no group here. This node may, as
 		// their views differ for moments.
-		return dispatched{elsewhere: placement.Elsewhere, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
+		return dispatched{elsewhere: placement.AlternativeZone, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
 	}
 	now := time.Now()
 	placed, usable := c.offered(now, placement, ask)
@@ -127,7 +127,7 @@
 // placement returns what a zone needs to know of the stream.
 func (c *streamCall) placement(ask balance.Ask) fleet.PlacementRequest {
 	request := fleet.PlacementRequest{
-		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, GoesOn: ask.GoesOn,
+		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, Resumed: ask.GoesOn,
 	}
 	for id := range ask.Tried {
 		request.Tried = append(request.Tried, id)
--- a/node/node.go
+++ b/node/node.go
@@ -57,13 +57,13 @@
 	// source is the store, read by way of the zone's readers.
 	source    *relay.Source
 	neighbors *neighbor.Client
-	board     *neighbor.Board
+	board     *neighbor.LoadTable
 	group     *kernel.Group
 	stopping  atomic.Pointer[gateway.Stop] // nil unless a planned stop is under way
 	conns     *connections
 	rosters   rosterCache
 	// avoided are dispatchers that gave no answer.
-	avoided *relay.Avoided
+	avoided *relay.PeerBackoff
 	callers net.Listener
 }
 
@@ -72,11 +72,11 @@
 	store := platform.NewStore(s.StoreAddress)
 	n := &Node{
 		path: path, settings: s, book: directory.NewBook(), tracker: balance.NewTracker(), upstream: gateway.NewUpstream(),
-		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), board: neighbor.NewBoard(),
-		avoided: relay.NewAvoided(dispatcherFirst, dispatcherLongest),
+		metrics: gateway.NewMetrics(), conns: newConnections(), neighbors: neighbor.NewClient(), board: neighbor.NewLoadTable(),
+		avoided: relay.NewPeerBackoff(dispatcherFirst, dispatcherLongest),
 	}
 	n.source = relay.NewSource(relay.Config{
-		Store: store, Asker: n.neighbors, Self: s.Node, Peers: n.peers, Others: n.foreigners, Leader: n.leader, Same: sameValue,
+		Store: store, PeerClient: n.neighbors, Self: s.Node, Peers: n.peers, RemotePeers: n.foreigners, Leader: n.leader, EqualFor: sameValue,
 	})
 	n.current.Store(&s)
 	n.table = members.NewTable(members.Config{
@@ -127,7 +127,7 @@
 		g.Stop()
 		return err
 	}
-	klog.InfoS("node_started", "node", n.settings.Node, "zone", n.settings.Zone, "callers", n.settings.Callers,
+	klog.InfoS("node_started", "node", n.settings.Node, "zone", n.settings.Zone, "callers", n.settings.CallerAddress,
 		"store", n.settings.StoreAddress, "first_start", n.settings.FirstStart)
 	n.table.Start(g)
 	n.follower.Start(g)
--- a/node/permit.go
+++ b/node/permit.go
@@ -21,7 +21,7 @@
 // answers lends. Who can't ask it sends nothing there.
 func (l lender) Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (balance.Permit, bool) {
 	n := l.node
-	peer, ok := n.avoided.First(time.Now(), n.lenders(e.Zone))
+	peer, ok := n.avoided.FirstAvailable(time.Now(), n.lenders(e.Zone))
 	switch {
 	case !ok:
 		return balance.Permit{}, false
@@ -30,7 +30,7 @@
 	}
 	permit, err := n.neighbors.Permit(ctx, peer.Address, e.Zone, known)
 	if err == nil {
-		n.avoided.Worked(peer.Name)
+		n.avoided.RecordSuccess(peer.Name)
 		return permit, true
 	}
 	if ctx.Err() == nil { // else the caller left
@@ -58,7 +58,7 @@
 	if peers := n.peersOf(zone); len(peers) > 0 {
 		return peers
 	}
-	return relay.Ranked(append(n.peers(), n.foreigners()...), relay.Dispatching)
+	return relay.RankPeers(append(n.peers(), n.foreigners()...), relay.Dispatcher)
 }
 
 // lenderShare returns the part of a limit that this node lends for endpoints of a zone, 0
