--- a/formation/manager.go
+++ b/formation/manager.go
@@ -47,9 +47,9 @@
 	// LeasePosition returns the store position at which it acquired the zone's lease.
 	HoldsLease    func(zone string) bool
 	LeasePosition func(zone string) fleet.Position
-	// Settled reports whether the entries that the store lost before an era have been
+	// Recovered reports whether the entries that the store lost before an era have been
 	// written again.
-	Settled func(era int64) bool
+	Recovered func(era int64) bool
 	// Position returns the newest store position that this node knows.
 	Position func() fleet.Position
 	// TrafficStarted reports whether any request has arrived yet.
@@ -180,7 +180,7 @@
 // entries of a store that was just restored to an older state.
 func (m *Manager) caughtUp(zone string) bool {
 	read := m.Book.Read()
-	return !read.Before(m.LeasePosition(zone)) && m.Settled(read.Era)
+	return !read.Before(m.LeasePosition(zone)) && m.Recovered(read.Era)
 }
 
 // planZone plans one zone's groups and sends the orders. It reports whether any change
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -53,7 +53,7 @@
 	}}
 	n.manager = formation.NewManager(formation.Options{
 		Settings: func() fleet.Settings { return settings }, Book: book, Orderer: orderer, LeasePosition: func(string) fleet.Position { return n.heldFrom },
-		Settled:    func(int64) bool { return !n.unsettled },
+		Recovered:  func(int64) bool { return !n.unsettled },
 		HoldsLease: func(string) bool { n.leaseChecked(); return n.holds }, Position: func() fleet.Position { return fleet.Position{Era: n.era, Version: n.version} },
 		TrafficStarted: func() bool { return n.begun }, Progressing: func(_ time.Time, id string) bool { return n.progressing[id] },
 		Running: n.running(book),
--- a/node/node.go
+++ b/node/node.go
@@ -87,7 +87,7 @@
 		Settings: n.inForce, Book: n.book, Orderer: platform.NewEngines(), Position: n.table.Position,
 		HoldsLease:     func(zone string) bool { return n.table.Holds(zone, kernel.BootTime()) },
 		LeasePosition:  n.table.HeldFrom,
-		Settled:        n.table.Settled,
+		Recovered:      n.table.Settled,
 		TrafficStarted: func() bool { return n.gateway.Served() > 0 },
 		Progressing:    n.tracker.Moves,
 		Running:        n.tracker.Running,
