--- a/formation/manager.go
+++ b/formation/manager.go
@@ -41,7 +41,7 @@
 type Options struct {
 	// Settings returns the settings in force.
 	Settings func() fleet.Settings
-	Book     *directory.Book
+	Cache    *directory.Book
 	Orderer  fleet.Orderer
 	// HoldsLease reports whether this node may form the groups of a zone now, and
 	// LeasePosition returns the store position at which it acquired the zone's lease.
@@ -157,7 +157,7 @@
 // view taken before caughtUp may be older than the position that caughtUp checked. It
 // reports whether any change is in progress.
 func (m *Manager) planServices(ctx context.Context, now time.Time, zone string) bool {
-	view := m.Book.View()
+	view := m.Cache.View()
 	config := view.Config()
 	if config == nil {
 		return false
@@ -179,7 +179,7 @@
 // without a group and join them to other groups while they serve. The same holds for
 // entries of a store that was just restored to an older state.
 func (m *Manager) caughtUp(zone string) bool {
-	read := m.Book.Read()
+	read := m.Cache.Read()
 	return !read.Before(m.LeasePosition(zone)) && m.Recovered(read.Era)
 }
 
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -52,7 +52,7 @@
 		Stall: 4 * time.Second, LoadsWindow: 5 * time.Second, LoadsOvershoot: 1.1,
 	}}
 	n.manager = formation.NewManager(formation.Options{
-		Settings: func() fleet.Settings { return settings }, Book: book, Orderer: orderer, LeasePosition: func(string) fleet.Position { return n.heldFrom },
+		Settings: func() fleet.Settings { return settings }, Cache: book, Orderer: orderer, LeasePosition: func(string) fleet.Position { return n.heldFrom },
 		Recovered:  func(int64) bool { return !n.unsettled },
 		HoldsLease: func(string) bool { n.leaseChecked(); return n.holds }, Position: func() fleet.Position { return fleet.Position{Era: n.era, Version: n.version} },
 		TrafficStarted: func() bool { return n.begun }, Progressing: func(_ time.Time, id string) bool { return n.progressing[id] },
--- a/formation/unlisted.go
+++ b/formation/unlisted.go
@@ -83,7 +83,7 @@
 // listedAddresses returns the addresses of all endpoints that have an entry.
 func (m *Manager) listedAddresses() map[string]bool {
 	taken := map[string]bool{}
-	for _, e := range m.Book.View().Endpoints {
+	for _, e := range m.Cache.View().Endpoints {
 		taken[e.Address] = true
 	}
 	return taken
--- a/node/node.go
+++ b/node/node.go
@@ -84,7 +84,7 @@
 		Zones: s.Zones, FirstStart: s.FirstStart, Now: kernel.BootTime,
 	}, n.source)
 	n.manager = formation.NewManager(formation.Options{
-		Settings: n.inForce, Book: n.book, Orderer: platform.NewEngines(), Position: n.table.Position,
+		Settings: n.inForce, Cache: n.book, Orderer: platform.NewEngines(), Position: n.table.Position,
 		HoldsLease:     func(zone string) bool { return n.table.Holds(zone, kernel.BootTime()) },
 		LeasePosition:  n.table.HeldFrom,
 		Recovered:      n.table.Settled,
