--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -19,7 +19,7 @@
 // groups.
 type fakeZone struct {
 	mu            sync.Mutex
-	book          *directory.Book
+	cache         *directory.Book
 	workers       map[string]*fakeEndpoint
 	ready         map[string]map[string]bool // endpoints that were ever ready, by group
 	violations    []string                   // violated invariants
@@ -88,12 +88,12 @@
 func newFakeZoneWith(engine *fleet.Engine, seed uint64, domains, size int) *fakeZone {
 	f := &fakeZone{
 		engine: engine,
-		book:   directory.NewBook(), workers: map[string]*fakeEndpoint{}, ready: map[string]map[string]bool{}, replacedBy: map[string]string{},
+		cache:  directory.NewBook(), workers: map[string]*fakeEndpoint{}, ready: map[string]map[string]bool{}, replacedBy: map[string]string{},
 		random: rand.New(rand.NewPCG(seed, 1)), lag: 150 * time.Millisecond,
 		stored: map[string]*fleet.Endpoint{},
 	}
-	f.followers = []*follower{{book: f.book}}
-	f.book.Apply(time.Now(), directory.Change{Config: &fleet.Configuration{
+	f.followers = []*follower{{cache: f.cache}}
+	f.cache.Apply(time.Now(), directory.Change{Config: &fleet.Configuration{
 		Version: 1, Services: map[string]fleet.Service{testService: {Name: testService, Engine: engine}},
 	}})
 	for d := range domains {
@@ -139,16 +139,16 @@
 			c.due = due
 		}
 		time.AfterFunc(time.Until(c.due), func() {
-			c.book.Apply(time.Now(), changes...)
-			c.book.NoteRead(fleet.Position{Version: version})
+			c.cache.Apply(time.Now(), changes...)
+			c.cache.NoteRead(fleet.Position{Version: version})
 		})
 	}
 }
 
 // follower is a node's copy of the entries, which lags behind the store.
 type follower struct {
-	book *directory.Book
-	due  time.Time // when the last change in flight arrives
+	cache *directory.Book
+	due   time.Time // when the last change in flight arrives
 	// extraLag is the delay on top of a lease holder's.
 	extraLag time.Duration
 }
@@ -158,12 +158,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	c := &follower{book: directory.NewBook(), extraLag: behind}
-	c.book.Apply(now, directory.Change{Config: f.book.View().Config()})
+	c := &follower{cache: directory.NewBook(), extraLag: behind}
+	c.cache.Apply(now, directory.Change{Config: f.cache.View().Config()})
 	for _, e := range f.stored {
-		c.book.Apply(now, directory.Change{Endpoint: e})
+		c.cache.Apply(now, directory.Change{Endpoint: e})
 	}
-	c.book.NoteRead(fleet.Position{Version: f.version})
+	c.cache.NoteRead(fleet.Position{Version: f.version})
 	f.followers = append(f.followers, c)
 	return c
 }
@@ -277,11 +277,11 @@
 
 // carryOutLate makes an endpoint's process carry an order out 2 to 12 s later.
 func (f *fakeZone) carryOutLate(w *fakeEndpoint, o fleet.Order) {
-	late, born := 2*time.Second+time.Duration(f.random.Float64()*10*float64(time.Second)), w.StartedMillis
+	late, startedMillis := 2*time.Second+time.Duration(f.random.Float64()*10*float64(time.Second)), w.StartedMillis
 	time.AfterFunc(late, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if !w.dead && w.StartedMillis == born {
+		if !w.dead && w.StartedMillis == startedMillis {
 			f.carryOut(w, o)
 		}
 	})
@@ -414,11 +414,11 @@
 		return false
 	}
 	f.staged++
-	born := w.StartedMillis
+	startedMillis := w.StartedMillis
 	time.AfterFunc(model.Load, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if !w.dead && w.StartedMillis == born {
+		if !w.dead && w.StartedMillis == startedMillis {
 			w.Staged = []string{o.Model}
 			f.publishEntry(w)
 		}
--- a/formation/handover_test.go
+++ b/formation/handover_test.go
@@ -10,12 +10,12 @@
 	"redwinghall/fleet"
 )
 
-// withOlderCopy replaces the fake zone's book by one in which no endpoint belongs to a
-// group, read up to a position. It returns the previous book and the new one.
+// withOlderCopy replaces the fake zone's cache by one in which no endpoint belongs to a
+// group, read up to a position. It returns the previous cache and the new one.
 func (f *fakeZone) withOlderCopy(at fleet.Position) (current, older *directory.Book) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	current, older = f.book, directory.NewBook()
+	current, older = f.cache, directory.NewBook()
 	older.Apply(time.Now(), directory.Change{Config: current.View().Config()})
 	for _, e := range current.View().Endpoints {
 		free := *e
@@ -23,7 +23,7 @@
 		older.Apply(time.Now(), directory.Change{Endpoint: &free})
 	}
 	older.NoteRead(at)
-	f.book = older
+	f.cache = older
 	return current, older
 }
 
--- a/formation/joining_test.go
+++ b/formation/joining_test.go
@@ -157,7 +157,7 @@
 	version := j.zone.version
 	j.next.extraLag = 0 // a holder reads the entries more often
 	j.zone.mu.Unlock()
-	n := manageBy(j.zone, fresh, j.link, j.next.book)
+	n := manageBy(j.zone, fresh, j.link, j.next.cache)
 	j.next = j.zone.follow(followerLag)
 	n.heldFrom = fleet.Position{Version: version}
 	n.begun = !fresh
@@ -383,11 +383,11 @@
 
 // manageBy returns a holder that reaches the endpoints through a link, with its own
 // copy of their entries.
-func manageBy(f *fakeZone, fresh bool, orderer fleet.Orderer, book *directory.Book) *node {
+func manageBy(f *fakeZone, fresh bool, orderer fleet.Orderer, cache *directory.Book) *node {
 	f.mu.Lock()
 	f.leases++
 	n := &node{version: f.leases, holds: true, fresh: fresh, progressing: map[string]bool{}, group: kernel.NewGroup(context.Background())}
 	f.mu.Unlock()
-	n.start(book, orderer)
+	n.start(cache, orderer)
 	return n
 }
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -19,10 +19,10 @@
 	// overlayTimeout is how long an order is assumed to be carried out before its
 	// effect shows in the endpoint's entry.
 	overlayTimeout = 2 * time.Second
-	// slowPace is the pace from which a member counts as slow: it delays its whole
-	// group. It counts as slow for slowDuration and is then probed again.
-	slowPace     = 1.7
-	slowDuration = 10 * time.Second
+	// slowTimeFactor is the time factor from which a member counts as slow: it delays
+	// its whole group. It counts as slow for slowDuration and is then probed again.
+	slowTimeFactor = 1.7
+	slowDuration   = 10 * time.Second
 	// settleTime is how long the set of endpoints of a zone must stay unchanged before
 	// its first groups are formed: groups of the first few endpoints would leave no
 	// domain for the large models. maxSettleTime is the longest wait, because groups
@@ -81,16 +81,16 @@
 
 // endpointState is what the manager keeps about an endpoint between plans.
 type endpointState struct {
-	worker       Worker
-	born         int64
-	suspectUntil time.Time // until when
-	slowUntil    time.Time // until when
-	overlay      fleet.Membership
-	overlaidAt   time.Time
-	reported     fleet.Membership
-	seenAt       time.Time
-	probedAt     time.Time
-	unlisted     unlisted
+	worker        Worker
+	startedMillis int64
+	suspectUntil  time.Time // until when
+	slowUntil     time.Time // until when
+	overlay       fleet.Membership
+	overlaidAt    time.Time
+	reported      fleet.Membership
+	seenAt        time.Time
+	probedAt      time.Time
+	unlisted      unlisted
 	// unansweredJoin is the group of the last join order that got no answer, and
 	// unansweredJoinUntil is until when that order may still be carried out.
 	unansweredJoin      string
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -41,22 +41,22 @@
 func manage(f *fakeZone, fresh bool) *node {
 	f.leases++
 	n := &node{version: f.leases, holds: true, fresh: fresh, progressing: map[string]bool{}, group: kernel.NewGroup(context.Background())}
-	n.start(f.book, f)
+	n.start(f.cache, f)
 	return n
 }
 
 // start runs a manager that forms groups from the node's copy of the entries and sends
 // orders through orderer.
-func (n *node) start(book *directory.Book, orderer fleet.Orderer) {
+func (n *node) start(cache *directory.Book, orderer fleet.Orderer) {
 	settings := fleet.Settings{Zone: "z", Zones: []string{"z"}, FirstStart: n.fresh, Bounds: fleet.Bounds{
 		Stall: 4 * time.Second, LoadsWindow: 5 * time.Second, LoadsOvershoot: 1.1,
 	}}
 	n.manager = formation.NewManager(formation.Options{
-		Settings: func() fleet.Settings { return settings }, Cache: book, Orderer: orderer, LeasePosition: func(string) fleet.Position { return n.heldFrom },
+		Settings: func() fleet.Settings { return settings }, Cache: cache, Orderer: orderer, LeasePosition: func(string) fleet.Position { return n.heldFrom },
 		Recovered:  func(int64) bool { return !n.unsettled },
 		HoldsLease: func(string) bool { n.leaseChecked(); return n.holds }, Position: func() fleet.Position { return fleet.Position{Era: n.era, Version: n.version} },
 		TrafficStarted: func() bool { return n.begun }, Progressing: func(_ time.Time, id string) bool { return n.progressing[id] },
-		Running: n.running(book),
+		Running: n.running(cache),
 	})
 	n.manager.Start(n.group)
 }
@@ -69,9 +69,9 @@
 
 // running returns a function that reports a head's number of requests, according to its
 // model's demand.
-func (n *node) running(book *directory.Book) func(time.Time, string) int {
+func (n *node) running(cache *directory.Book) func(time.Time, string) int {
 	return func(_ time.Time, id string) int {
-		e, known := book.View().Endpoints[id]
+		e, known := cache.View().Endpoints[id]
 		asked := n.demand.Load()
 		if !known || asked == nil {
 			return 0
@@ -535,7 +535,7 @@
 		f.workers[id].slow = 4
 		f.mu.Unlock()
 	case 4:
-		f.book.Apply(time.Now(), directory.Change{Gone: id})
+		f.cache.Apply(time.Now(), directory.Change{Gone: id})
 	}
 	if head != "" {
 		n.manager.ReportStall(context.Background(), head)
--- a/formation/notes.go
+++ b/formation/notes.go
@@ -9,12 +9,12 @@
 // trackEndpoint returns the worker of an endpoint, with the state kept about it.
 func (m *Manager) trackEndpoint(now time.Time, e *fleet.Endpoint) *Worker {
 	n, ok := m.endpoints[e.ID]
-	if !ok || n.born != e.StartedMillis {
+	if !ok || n.startedMillis != e.StartedMillis {
 		// A process that restarts under the same id has lost its membership.
-		if ok && e.StartedMillis > n.born {
+		if ok && e.StartedMillis > n.startedMillis {
 			m.recordReportedMembership(now, n.reported, fleet.Membership{})
 		}
-		n = &endpointState{born: e.StartedMillis, worker: Worker{OrderedAt: map[fleet.OrderKind]time.Time{}}}
+		n = &endpointState{startedMillis: e.StartedMillis, worker: Worker{OrderedAt: map[fleet.OrderKind]time.Time{}}}
 		m.endpoints[e.ID] = n
 	}
 	n.seenAt = now
--- a/formation/probes.go
+++ b/formation/probes.go
@@ -42,7 +42,7 @@
 		defer m.mu.Unlock()
 		delete(m.probing, endpoint.ID)
 		if err == nil {
-			m.recordPace(now, n, report.TimeFactor)
+			m.recordTimeFactor(now, n, report.TimeFactor)
 			return nil
 		}
 		klog.InfoS("member_silent", "endpoint", endpoint.ID, "group", n.worker.Member.Group, "err", err)
@@ -51,12 +51,12 @@
 	})
 }
 
-// recordPace records whether an endpoint reports that it works slower than it should.
-func (m *Manager) recordPace(now time.Time, n *endpointState, pace float64) {
-	if pace < slowPace {
+// recordTimeFactor records whether an endpoint reports that it works slower than it should.
+func (m *Manager) recordTimeFactor(now time.Time, n *endpointState, timeFactor float64) {
+	if timeFactor < slowTimeFactor {
 		n.slowUntil = time.Time{}
 		return
 	}
-	klog.InfoS("member_slow", "endpoint", n.worker.Endpoint.ID, "group", n.worker.Member.Group, "pace", pace)
+	klog.InfoS("member_slow", "endpoint", n.worker.Endpoint.ID, "group", n.worker.Member.Group, "pace", timeFactor)
 	n.slowUntil = now.Add(slowDuration)
 }
