--- a/formation/farm_test.go
+++ b/formation/farm_test.go
@@ -19,7 +19,7 @@
 // groups.
 type fakeZone struct {
 	mu            sync.Mutex
-	cache         *directory.Book
+	cache         *directory.Cache
 	workers       map[string]*fakeEndpoint
 	ready         map[string]map[string]bool // endpoints that were ever ready, by group
 	violations    []string                   // violated invariants
@@ -88,7 +88,7 @@
 func newFakeZoneWith(engine *fleet.Engine, seed uint64, domains, size int) *fakeZone {
 	f := &fakeZone{
 		engine: engine,
-		cache:  directory.NewBook(), workers: map[string]*fakeEndpoint{}, ready: map[string]map[string]bool{}, replacedBy: map[string]string{},
+		cache:  directory.NewCache(), workers: map[string]*fakeEndpoint{}, ready: map[string]map[string]bool{}, replacedBy: map[string]string{},
 		random: rand.New(rand.NewPCG(seed, 1)), lag: 150 * time.Millisecond,
 		stored: map[string]*fleet.Endpoint{},
 	}
@@ -147,7 +147,7 @@
 
 // follower is a node's copy of the entries, which lags behind the store.
 type follower struct {
-	cache *directory.Book
+	cache *directory.Cache
 	due   time.Time // when the last change in flight arrives
 	// extraLag is the delay on top of a lease holder's.
 	extraLag time.Duration
@@ -158,7 +158,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	c := &follower{cache: directory.NewBook(), extraLag: behind}
+	c := &follower{cache: directory.NewCache(), extraLag: behind}
 	c.cache.Apply(now, directory.Change{Config: f.cache.View().Config()})
 	for _, e := range f.stored {
 		c.cache.Apply(now, directory.Change{Endpoint: e})
--- a/formation/handover_test.go
+++ b/formation/handover_test.go
@@ -12,10 +12,10 @@
 
 // withOlderCopy replaces the fake zone's cache by one in which no endpoint belongs to a
 // group, read up to a position. It returns the previous cache and the new one.
-func (f *fakeZone) withOlderCopy(at fleet.Position) (current, older *directory.Book) {
+func (f *fakeZone) withOlderCopy(at fleet.Position) (current, older *directory.Cache) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	current, older = f.cache, directory.NewBook()
+	current, older = f.cache, directory.NewCache()
 	older.Apply(time.Now(), directory.Change{Config: current.View().Config()})
 	for _, e := range current.View().Endpoints {
 		free := *e
--- a/formation/joining_test.go
+++ b/formation/joining_test.go
@@ -383,7 +383,7 @@
 
 // manageBy returns a holder that reaches the endpoints through a link, with its own
 // copy of their entries.
-func manageBy(f *fakeZone, fresh bool, orderer fleet.Orderer, cache *directory.Book) *node {
+func manageBy(f *fakeZone, fresh bool, orderer fleet.Orderer, cache *directory.Cache) *node {
 	f.mu.Lock()
 	f.leases++
 	n := &node{version: f.leases, holds: true, fresh: fresh, progressing: map[string]bool{}, group: kernel.NewGroup(context.Background())}
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -41,7 +41,7 @@
 type Options struct {
 	// Settings returns the settings in force.
 	Settings func() fleet.Settings
-	Cache    *directory.Book
+	Cache    *directory.Cache
 	Orderer  fleet.Orderer
 	// HoldsLease reports whether this node may form the groups of a zone now, and
 	// LeasePosition returns the store position at which it acquired the zone's lease.
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -47,7 +47,7 @@
 
 // start runs a manager that forms groups from the node's copy of the entries and sends
 // orders through orderer.
-func (n *node) start(cache *directory.Book, orderer fleet.Orderer) {
+func (n *node) start(cache *directory.Cache, orderer fleet.Orderer) {
 	settings := fleet.Settings{Zone: "z", Zones: []string{"z"}, FirstStart: n.fresh, Bounds: fleet.Bounds{
 		Stall: 4 * time.Second, LoadsWindow: 5 * time.Second, LoadsOvershoot: 1.1,
 	}}
@@ -69,7 +69,7 @@
 
 // running returns a function that reports a head's number of requests, according to its
 // model's demand.
-func (n *node) running(cache *directory.Book) func(time.Time, string) int {
+func (n *node) running(cache *directory.Cache) func(time.Time, string) int {
 	return func(_ time.Time, id string) int {
 		e, known := cache.View().Endpoints[id]
 		asked := n.demand.Load()
