--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -94,7 +94,7 @@
 	}
 	request.Body = body
 	request.view = g.Book.View() // a slow caller may have taken its time
-	g.budget.Request(now, request.Service.Name)
+	g.budget.RecordRequest(now, request.Service.Name)
 	ctx, cancel := context.WithDeadline(in.Context(), request.Deadline)
 	defer cancel()
 	if request.Route.Kind == fleet.Streaming {
@@ -172,7 +172,7 @@
 //
 // Guard: after a start of all nodes, each that doesn't know the others yet would take what
 // all of them share for its own.
-func (g *Gateway) ask(r *Request, tried map[string]bool) balance.Ask {
+func (g *Gateway) ask(r *Request, tried map[string]bool) balance.Request {
 	shares := g.Shares()
 	nodes := max(1, shares.Nodes)
 	settings := g.Settings()
@@ -184,10 +184,10 @@
 	if shares.Nodes == 0 {
 		cold = 0
 	}
-	ask := balance.Ask{
+	ask := balance.Request{
 		Service: r.Service, Zone: settings.Zone, Prompt: r.Ask.Prompt, Answer: r.Ask.MaxAnswer, Objective: r.Route.Objective, Tried: tried,
-		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, Dispatches: shares.Dispatches,
-		ColdNear: coldNear * cold / float64(zone), ColdFar: (1 - coldNear) * cold / float64(max(1, nodes-zone)),
+		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, IsDispatcher: shares.Dispatches,
+		ColdRateOwnZone: coldNear * cold / float64(zone), ColdRateOtherZones: (1 - coldNear) * cold / float64(max(1, nodes-zone)),
 		Connections: connectionShare(r.Service.MaxConnections, nodes),
 	}
 	if r.Service.Engine != nil {
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -40,13 +40,13 @@
 		return
 	}
 	now := time.Now()
-	if silent := w.choice.Visit.Silent(now); silent < w.limit {
+	if silent := w.choice.Attempt.TimeWithoutEvent(now); silent < w.limit {
 		w.timer.Reset(max(silenceCheck, w.limit-silent))
 		return
 	}
 	if !w.told {
 		w.told = true
-		w.call.g.Tracker.Unreachable(now, w.choice.Endpoint.ID)
+		w.call.g.Tracker.MarkUnreachable(now, w.choice.Endpoint.ID)
 		w.call.g.Stalled(w.choice.Endpoint.ID)
 	}
 	if w.call.mayMove(now) {
@@ -74,7 +74,7 @@
 	if c.r.Service.Engine != nil {
 		others = view.Heads(c.r.Service.Name, c.r.Ask.Model)
 	}
-	if !c.g.Tracker.EndpointLeft(now, others, view.ZonesOut, c.g.ask(c.r, c.tried)) {
+	if !c.g.Tracker.HasAlternative(now, others, view.ZonesOut, c.g.ask(c.r, c.tried)) {
 		return false
 	}
 	return c.g.mayRetry(c.r, int(c.sent.Load()), now)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -67,7 +67,7 @@
 			return
 		}
 		if now, stop := time.Now(), g.stop(); !call.begun && !stop.Takes(now, choice.Expected, r.Deadline) {
-			choice.Visit.Withdraw()
+			choice.Attempt.Cancel()
 			call.refuse(stop.refusal(now, choice.Expected))
 			return
 		}
@@ -87,7 +87,7 @@
 // its model, or an endpoint of a plain service.
 func (c *streamCall) choose(ctx context.Context) (balance.Choice, *balance.Refusal) {
 	ask := c.g.ask(c.r, c.tried)
-	ask.GoesOn = c.sent.Load() > 0
+	ask.Resumed = c.sent.Load() > 0
 	if c.r.Service.Engine == nil {
 		return c.g.choosePlain(ctx, c.r, ask)
 	}
@@ -128,16 +128,16 @@
 	c.mayHaveRun = c.mayHaveRun || redwinghall.KindOf[Kind](last.err) == Unknown
 	ok := last.err == nil && !last.notRun
 	now := time.Now()
-	choice.Visit.Done(now, ok || (ctx.Err() != nil && !stalled.Load()))
+	choice.Attempt.Done(now, ok || (ctx.Err() != nil && !stalled.Load()))
 	switch {
 	case redwinghall.KindOf[Kind](last.err) == NotSent && ctx.Err() == nil:
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 		c.g.Stalled(choice.Endpoint.ID)
 	case last.notRun && c.r.Service.Engine != nil:
 		// Guard: while the store is away, a head whose group has closed looks open here,
 		// and emptier than all others. Streams would go there first, one after the
 		// other, and have no second try left.
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	}
 	if !ok {
 		klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
@@ -165,7 +165,7 @@
 	defer func() { _ = answer.Body.Close() }()
 	c.g.noteLimit(c.r, choice, answer)
 	if answer.Verdict.Load.Known {
-		choice.Visit.Told(time.Now(), answer.Verdict.Load.Running+answer.Verdict.Load.Waiting)
+		choice.Attempt.RecordLoad(time.Now(), answer.Verdict.Load.Running+answer.Verdict.Load.Waiting)
 	}
 	switch {
 	case answer.Verdict.NotRun:
@@ -228,7 +228,7 @@
 			return err
 		}
 		now := time.Now()
-		choice.Visit.Event(now, pace)
+		choice.Attempt.RecordEvent(now, pace)
 		if c.seen(event) {
 			continue
 		}
--- a/measure/takeover.go
+++ b/measure/takeover.go
@@ -17,9 +17,9 @@
 	lease time.Duration
 }
 
-// Judge implements claim.Judge.
-func (j takeover) Judge(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (claim.Verdict, redwinghall.Claim) {
-	verdict, found := claim.Never{}.Judge(now, row, bodyHash, bound)
+// Evaluate implements claim.TakeoverPolicy.
+func (j takeover) Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (claim.Verdict, redwinghall.Claim) {
+	verdict, found := claim.NoTakeover{}.Evaluate(now, row, bodyHash, bound)
 	if found.State == redwinghall.ClaimHeld && now.Sub(found.At) > j.lease {
 		return claim.Proceed, found
 	}
@@ -70,8 +70,8 @@
 func measureTakeover(options) ([]Series, error) {
 	judges := []struct {
 		name  string
-		judge claim.Judge
-	}{{"never taken over", claim.Never{}}, {"taken over after 60 s", takeover{lease: takeoverLease}}}
+		judge claim.TakeoverPolicy
+	}{{"never taken over", claim.NoTakeover{}}, {"taken over after 60 s", takeover{lease: takeoverLease}}}
 	var out []Series
 	for _, j := range judges {
 		doubled, stuck := 0, 0
@@ -109,13 +109,13 @@
 
 // playKey plays one key: a first attempt and retries at fixed intervals, each
 // through another router, against one row.
-func playKey(judge claim.Judge, random *rand.Rand) outcomeOf {
+func playKey(judge claim.TakeoverPolicy, random *rand.Rand) outcomeOf {
 	start := time.Unix(0, 0)
 	var out outcomeOf
 	row := redwinghall.Row{}
 	var queue []sending
 	attempt := func(now time.Time, token string) {
-		verdict, _ := judge.Judge(now, row, "h", takeoverLease)
+		verdict, _ := judge.Evaluate(now, row, "h", takeoverLease)
 		if verdict != claim.Proceed {
 			return
 		}
@@ -151,7 +151,7 @@
 	}
 	end := start.Add(time.Hour)
 	send(end)
-	verdict, found := judge.Judge(end, row, "h", takeoverLease)
+	verdict, found := judge.Evaluate(end, row, "h", takeoverLease)
 	out.stuck = verdict != claim.Replay && found.State != redwinghall.ClaimRan
 	return out
 }
--- a/neighbor/client.go
+++ b/neighbor/client.go
@@ -98,7 +98,7 @@
 type ShareResult struct {
 	Others map[string]balance.Load // loads from the other nodes of the zone, if requested
 	Zones  map[string]balance.Load // loads from the other zones, if requested
-	Limits []balance.LimitWord     // limits that changed recently, or all if requested
+	Limits []balance.LimitReport   // limits that changed recently, or all if requested
 }
 
 // LoadReport is what a node reports about its loads.
@@ -111,7 +111,7 @@
 	// the other zones.
 	WithOthers, WithZones bool
 	// Limits holds the limits that endpoints recently reported to the node itself.
-	Limits []balance.LimitWord
+	Limits []balance.LimitReport
 	// WithLimits requests all limits in force, not only those that changed.
 	WithLimits bool
 }
@@ -132,7 +132,7 @@
 
 // ShareZone reports the total load from this zone, and the limits that changed recently,
 // to a node of another zone.
-func (c *Client) ShareZone(ctx context.Context, address, zone string, loads map[string]balance.Load, limits []balance.LimitWord) error {
+func (c *Client) ShareZone(ctx context.Context, address, zone string, loads map[string]balance.Load, limits []balance.LimitReport) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := c.clientFor(address).Share(ctx, &rpc.ShareRequest{
@@ -164,7 +164,7 @@
 
 // Permit requests a permit for one request to an endpoint of a zone. A caller is waiting,
 // as in Reserve.
-func (c *Client) Permit(ctx context.Context, address, zone string, known balance.LimitWord) (balance.Permit, error) {
+func (c *Client) Permit(ctx context.Context, address, zone string, known balance.LimitReport) (balance.Permit, error) {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	out, err := c.clientFor(address).Permit(ctx, &rpc.PermitRequest{Zone: zone, Limit: encodeLimit(known)})
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -31,7 +31,7 @@
 	// Limits holds the limits of the endpoints that this node knows.
 	Limits *balance.Tracker
 	// Permit grants or denies one request to an endpoint of a zone.
-	Permit func(now time.Time, zone string, known balance.LimitWord) balance.Permit
+	Permit func(now time.Time, zone string, known balance.LimitReport) balance.Permit
 	// Commit commits a transaction directly at the store.
 	Commit func(ctx context.Context, txn fleet.Txn) (fleet.Position, error)
 }
@@ -72,7 +72,7 @@
 // Share implements rpc.Neighbor.
 func (s *Server) Share(_ context.Context, in *rpc.ShareRequest) (*rpc.ShareResponse, error) {
 	now := time.Now()
-	s.config.Limits.LearnLimits(now, decodeLimits(in.GetLimits()))
+	s.config.Limits.MergeLimits(now, decodeLimits(in.GetLimits()))
 	if in.GetZone() {
 		s.config.Loads.SetZone(now, in.GetNode(), decodeLoads(in.GetLoads()))
 		return &rpc.ShareResponse{}, nil
--- a/node/node.go
+++ b/node/node.go
@@ -91,7 +91,7 @@
 		LeasePosition:  n.table.LeasePosition,
 		Recovered:      n.table.Recovered,
 		TrafficStarted: func() bool { return n.gateway.Served() > 0 },
-		Progressing:    n.tracker.Moves,
+		Progressing:    n.tracker.Progressing,
 		Running:        n.tracker.Running,
 	})
 	n.gateway = gateway.New(gateway.Options{
@@ -139,7 +139,7 @@
 	n.startSharing(g)
 	n.startZoneSharing(g)
 	g.Every("slow_groups", slowInterval, func(_ context.Context, now time.Time) {
-		for _, id := range n.tracker.Slow(now) {
+		for _, id := range n.tracker.SlowEndpoints(now) {
 			n.reportStalled(id)
 		}
 	})
