--- a/caller/relay.go
+++ b/caller/relay.go
@@ -50,7 +50,7 @@
 	sink     sink
 	sequence *sequence
 
-	failed *route.Slot
+	failed *route.Backend
 	tried  map[string]bool // gateways that failed this request
 }
 
@@ -65,7 +65,7 @@
 // target is where one try goes.
 type target struct {
 	address string
-	slot    *route.Slot // nil: another router
+	slot    *route.Backend // nil: another router
 }
 
 // run tries until the answer is complete, the deadline passes, the budget is
@@ -175,7 +175,7 @@
 	return target{address: slot.Group().Leader().Address, slot: slot}, nil
 }
 
-func (l *relay) chooseSlot(ctx context.Context, prefix uint64, try int) (*route.Slot, error) {
+func (l *relay) chooseSlot(ctx context.Context, prefix uint64, try int) (*route.Backend, error) {
 	if try > 0 {
 		if slot := l.server.board.PickOther(l.model.Model.ID, time.Now(), l.failed); slot != nil {
 			return slot, nil
--- a/route/board.go
+++ b/route/board.go
@@ -21,9 +21,9 @@
 	view atomic.Pointer[View]
 
 	mu     sync.Mutex
-	slots  map[string]*Slot
+	slots  map[string]*Backend
 	grants map[string]time.Time // until when this router may feed cold groups
-	gates  map[string]*admit.Gate[*Slot]
+	gates  map[string]*admit.Gate[*Backend]
 }
 
 // BoardConfig says whose board it is and how it decides.
@@ -39,7 +39,7 @@
 func NewBoard(c BoardConfig) *Board {
 	b := &Board{
 		zone: c.AvailabilityZone, self: c.Router, bound: c.AliveBound, ramp: c.Ramp, picker: c.Picker,
-		slots: map[string]*Slot{}, grants: map[string]time.Time{}, gates: map[string]*admit.Gate[*Slot]{},
+		slots: map[string]*Backend{}, grants: map[string]time.Time{}, gates: map[string]*admit.Gate[*Backend]{},
 	}
 	b.view.Store(&View{})
 	return b
@@ -50,10 +50,10 @@
 
 // gate returns the model's gate, which outlives views because requests wait
 // in it.
-func (b *Board) gate(model string) *admit.Gate[*Slot] {
+func (b *Board) gate(model string) *admit.Gate[*Backend] {
 	g, ok := b.gates[model]
 	if !ok {
-		g = admit.NewGate(func() (*Slot, bool) {
+		g = admit.NewGate(func() (*Backend, bool) {
 			s := b.pick(model, Query{Now: time.Now(), Bound: b.bound})
 			return s, s != nil
 		})
@@ -62,7 +62,7 @@
 	return g
 }
 
-func (b *Board) pick(model string, q Query) *Slot {
+func (b *Board) pick(model string, q Query) *Backend {
 	m, ok := b.View().Models[model]
 	if !ok {
 		return nil
@@ -71,29 +71,29 @@
 }
 
 // PickOther takes a unit of room in another slot than the one that failed.
-func (b *Board) PickOther(model string, now time.Time, failed *Slot) *Slot {
+func (b *Board) PickOther(model string, now time.Time, failed *Backend) *Backend {
 	return b.pick(model, Query{Now: now, Bound: b.bound, Exclude: failed})
 }
 
 // PickPrefix takes a unit of room, with a hint where the prompt's beginning
 // was likely served before.
-func (b *Board) PickPrefix(model string, now time.Time, prefix uint64) *Slot {
+func (b *Board) PickPrefix(model string, now time.Time, prefix uint64) *Backend {
 	return b.pick(model, Query{Now: now, Bound: b.bound, Prefix: prefix})
 }
 
 // Usable reports how many groups of the model may take work from this router
 // at now.
 func (b *Board) Usable(model string, now time.Time) int {
-	return b.countSlots(model, func(s *Slot) bool { return s.Limit() > 0 && s.Usable(now, b.bound) })
+	return b.countSlots(model, func(s *Backend) bool { return s.Limit() > 0 && s.Usable(now, b.bound) })
 }
 
 // Whole reports how many groups of the model are whole at now, also those that
 // this router may not send to.
 func (b *Board) Whole(model string, now time.Time) int {
-	return b.countSlots(model, func(s *Slot) bool { return s.Usable(now, b.bound) })
+	return b.countSlots(model, func(s *Backend) bool { return s.Usable(now, b.bound) })
 }
 
-func (b *Board) countSlots(model string, counts func(*Slot) bool) int {
+func (b *Board) countSlots(model string, counts func(*Backend) bool) int {
 	m, ok := b.View().Models[model]
 	if !ok {
 		return 0
--- a/route/rebuild.go
+++ b/route/rebuild.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func (b *Board) slot(g redwinghall.Group) *Slot {
+func (b *Board) slot(g redwinghall.Group) *Backend {
 	s, ok := b.slots[g.ID]
 	if !ok {
 		s = NewSlot(g)
--- a/route/route.go
+++ b/route/route.go
@@ -12,9 +12,9 @@
 	"redwinghall/kernel"
 )
 
-// Slot is one group as this router uses it. The slot outlives snapshots, so
+// Backend is one group as this router uses it. The slot outlives snapshots, so
 // that requests in progress stay counted.
-type Slot struct {
+type Backend struct {
 	group    atomic.Pointer[redwinghall.Group]
 	health   atomic.Pointer[redwinghall.GroupHealth]
 	limit    atomic.Int32
@@ -32,23 +32,23 @@
 
 // NewSlot returns a slot of the group that takes no work until it has health
 // and a limit.
-func NewSlot(g redwinghall.Group) *Slot {
-	s := &Slot{}
+func NewSlot(g redwinghall.Group) *Backend {
+	s := &Backend{}
 	s.group.Store(&g)
 	return s
 }
 
 // Group returns the group as last set.
-func (s *Slot) Group() redwinghall.Group { return *s.group.Load() }
+func (s *Backend) Group() redwinghall.Group { return *s.group.Load() }
 
 // SetGroup replaces the group's record.
-func (s *Slot) SetGroup(g redwinghall.Group) { s.group.Store(&g) }
+func (s *Backend) SetGroup(g redwinghall.Group) { s.group.Store(&g) }
 
 // SetHealth replaces what is known of the group's members.
-func (s *Slot) SetHealth(h redwinghall.GroupHealth) { s.health.Store(&h) }
+func (s *Backend) SetHealth(h redwinghall.GroupHealth) { s.health.Store(&h) }
 
 // Health returns what is known of the group's members.
-func (s *Slot) Health() redwinghall.GroupHealth {
+func (s *Backend) Health() redwinghall.GroupHealth {
 	if h := s.health.Load(); h != nil {
 		return *h
 	}
@@ -57,7 +57,7 @@
 
 // SetLimit sets how many requests this router may have in the group until a
 // time; the zero time sets no end.
-func (s *Slot) SetLimit(n int, until time.Time) {
+func (s *Backend) SetLimit(n int, until time.Time) {
 	end := int64(math.MaxInt64)
 	if !until.IsZero() {
 		end = until.UnixNano()
@@ -67,14 +67,14 @@
 }
 
 // Limit returns how many requests this router may have in the group.
-func (s *Slot) Limit() int { return int(s.limit.Load()) }
+func (s *Backend) Limit() int { return int(s.limit.Load()) }
 
 // SetOwner names the router that feeds the group while it is cold; empty when
 // this router may send itself.
-func (s *Slot) SetOwner(callerAddress string) { s.owner.Store(&callerAddress) }
+func (s *Backend) SetOwner(callerAddress string) { s.owner.Store(&callerAddress) }
 
 // Owner returns the router that feeds the group while it is cold, or "".
-func (s *Slot) Owner() string {
+func (s *Backend) Owner() string {
 	if p := s.owner.Load(); p != nil {
 		return *p
 	}
@@ -82,13 +82,13 @@
 }
 
 // InFlight returns how many requests this router has in the group.
-func (s *Slot) InFlight() int { return int(s.inFlight.Load()) }
+func (s *Backend) InFlight() int { return int(s.inFlight.Load()) }
 
 // Avoid keeps the slot out of the first choice until the given time.
-func (s *Slot) Avoid(until time.Time) { s.avoidUntil.Store(until.UnixNano()) }
+func (s *Backend) Avoid(until time.Time) { s.avoidUntil.Store(until.UnixNano()) }
 
 // Usable reports whether the group may take a new request at now.
-func (s *Slot) Usable(now time.Time, bound time.Duration) bool {
+func (s *Backend) Usable(now time.Time, bound time.Duration) bool {
 	g := s.group.Load()
 	if g.Leaving {
 		return false
@@ -98,7 +98,7 @@
 }
 
 // TryAcquire counts one more request unless the limit is reached.
-func (s *Slot) TryAcquire() bool {
+func (s *Backend) TryAcquire() bool {
 	for {
 		n := s.inFlight.Load()
 		if n >= s.limit.Load() {
@@ -111,17 +111,17 @@
 }
 
 // Release counts one request less.
-func (s *Slot) Release() { s.inFlight.Add(-1) }
+func (s *Backend) Release() { s.inFlight.Add(-1) }
 
 // enter counts a request that may go to the slot, and reports whether it may.
-func (s *Slot) enter(q Query) bool {
+func (s *Backend) enter(q Query) bool {
 	return s != q.Exclude && q.Now.UnixNano() < s.validUntil.Load() && s.Usable(q.Now, q.Bound) && s.TryAcquire()
 }
 
-func (s *Slot) avoided(now time.Time) bool { return s.avoidUntil.Load() > now.UnixNano() }
+func (s *Backend) avoided(now time.Time) bool { return s.avoidUntil.Load() > now.UnixNano() }
 
 // load compares slots by the part of their limit that is used.
-func (s *Slot) load() float64 {
+func (s *Backend) load() float64 {
 	limit := s.limit.Load()
 	if limit <= 0 {
 		return 1
@@ -136,13 +136,13 @@
 	// Prefix is a hash of the prompt's beginning; zero: no preference.
 	Prefix uint64
 	// Exclude is a slot that already failed this request.
-	Exclude *Slot
+	Exclude *Backend
 }
 
 // Picker chooses a slot and counts the request in it; nil when none can take
 // one more.
 type Picker interface {
-	Pick(q Query, slots []*Slot) *Slot
+	Pick(q Query, slots []*Backend) *Backend
 }
 
 // Pickers holds the known pickers by name.
@@ -163,7 +163,7 @@
 const hintBias = 0.25
 
 // Pick implements Picker.
-func (t TwoChoices) Pick(q Query, slots []*Slot) *Slot {
+func (t TwoChoices) Pick(q Query, slots []*Backend) *Backend {
 	if len(slots) == 0 {
 		return nil
 	}
@@ -175,7 +175,7 @@
 	if second.load()+bias < first.load() {
 		first, second = second, first
 	}
-	for _, s := range []*Slot{first, second} {
+	for _, s := range []*Backend{first, second} {
 		if t.take(q, s) {
 			return s
 		}
@@ -183,13 +183,13 @@
 	return t.scan(q, slots)
 }
 
-func (TwoChoices) take(q Query, s *Slot) bool {
+func (TwoChoices) take(q Query, s *Backend) bool {
 	return !s.avoided(q.Now) && s.enter(q)
 }
 
 // scan is the way out when both choices were unusable or full: every slot is
 // tried from a random start, those to be avoided last.
-func (t TwoChoices) scan(q Query, slots []*Slot) *Slot {
+func (t TwoChoices) scan(q Query, slots []*Backend) *Backend {
 	start := rand.IntN(len(slots))
 	for i := range slots {
 		s := slots[(start+i)%len(slots)]
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -16,8 +16,8 @@
 	bound = 2 * time.Second
 )
 
-func slots(n, limit int) []*route.Slot {
-	out := make([]*route.Slot, n)
+func slots(n, limit int) []*route.Backend {
+	out := make([]*route.Backend, n)
 	for i := range out {
 		id := fmt.Sprint("g", i)
 		out[i] = route.NewSlot(redwinghall.Group{ID: id, Generation: 1})
@@ -32,16 +32,16 @@
 func TestPickTakesOnlyUsableSlots(t *testing.T) {
 	tests := []struct {
 		name  string
-		spoil func(*route.Slot)
+		spoil func(*route.Backend)
 	}{
-		{"not seen within the bound", func(s *route.Slot) {
+		{"not seen within the bound", func(s *route.Backend) {
 			s.SetHealth(redwinghall.GroupHealth{Generation: 1, Ready: true, SeenAt: start.Add(-3 * time.Second)})
 		}},
-		{"ordered anew", func(s *route.Slot) { s.SetGroup(s.Group().WithGeneration(2)) }},
-		{"leaving", func(s *route.Slot) { s.SetGroup(s.Group().WithLeaving()) }},
-		{"full", func(s *route.Slot) { s.SetLimit(0, time.Time{}) }},
-		{"grant ended", func(s *route.Slot) { s.SetLimit(1000, start) }},
-		{"avoided after a failure", func(s *route.Slot) { s.Avoid(start.Add(time.Second)) }},
+		{"ordered anew", func(s *route.Backend) { s.SetGroup(s.Group().WithGeneration(2)) }},
+		{"leaving", func(s *route.Backend) { s.SetGroup(s.Group().WithLeaving()) }},
+		{"full", func(s *route.Backend) { s.SetLimit(0, time.Time{}) }},
+		{"grant ended", func(s *route.Backend) { s.SetLimit(1000, start) }},
+		{"avoided after a failure", func(s *route.Backend) { s.Avoid(start.Add(time.Second)) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/route/view.go
+++ b/route/view.go
@@ -20,8 +20,8 @@
 // ModelView is one model as a snapshot shows it.
 type ModelView struct {
 	Model redwinghall.Model
-	Slots []*Slot
-	Gate  *admit.Gate[*Slot]
+	Slots []*Backend
+	Gate  *admit.Gate[*Backend]
 }
 
 // ServiceView is one plain service as a snapshot shows it.
