--- a/route/rebuild.go
+++ b/route/rebuild.go
@@ -69,7 +69,7 @@
 func (b *Board) slot(g redwinghall.Group) *Backend {
 	s, ok := b.slots[g.ID]
 	if !ok {
-		s = NewSlot(g)
+		s = NewBackend(g)
 		b.slots[g.ID] = s
 	}
 	s.SetGroup(g)
--- a/route/route.go
+++ b/route/route.go
@@ -30,9 +30,9 @@
 	validUntil atomic.Int64
 }
 
-// NewSlot returns a slot of the group that takes no work until it has health
+// NewBackend returns a slot of the group that takes no work until it has health
 // and a limit.
-func NewSlot(g redwinghall.Group) *Backend {
+func NewBackend(g redwinghall.Group) *Backend {
 	s := &Backend{}
 	s.group.Store(&g)
 	return s
