--- a/route/board.go
+++ b/route/board.go
@@ -67,7 +67,7 @@
 	if !ok {
 		return nil
 	}
-	return b.picker.Pick(q, m.Slots)
+	return b.picker.Pick(q, m.Backends)
 }
 
 // PickOther takes a unit of room in another slot than the one that failed.
@@ -99,7 +99,7 @@
 		return 0
 	}
 	n := 0
-	for _, s := range m.Slots {
+	for _, s := range m.Backends {
 		if counts(s) {
 			n++
 		}
@@ -118,7 +118,7 @@
 		addresses[r.ID] = r.CallerAddress
 	}
 	for _, model := range b.View().Models {
-		for _, s := range model.Slots {
+		for _, s := range model.Backends {
 			g := s.Group()
 			h, ok := book.Get(g.ID)
 			if !ok {
--- a/route/owner.go
+++ b/route/owner.go
@@ -35,7 +35,7 @@
 		return ""
 	}
 	found := ""
-	for _, s := range m.Slots {
+	for _, s := range m.Backends {
 		if !s.Usable(now, b.bound) {
 			continue
 		}
@@ -75,7 +75,7 @@
 func (b *Board) WantsGrant(routers []string) []string {
 	var out []string
 	for _, model := range b.View().Models {
-		for _, s := range model.Slots {
+		for _, s := range model.Backends {
 			g, h := s.Group(), s.Health()
 			if !g.Leaving && h.Generation == g.Generation && int(h.Completed) < g.WarmAfter && Owner(g.ID, routers) == b.self {
 				out = append(out, g.ID)
--- a/route/rebuild.go
+++ b/route/rebuild.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		used[g.ID] = true
-		model.Slots = append(model.Slots, b.slot(g))
+		model.Backends = append(model.Backends, b.slot(g))
 	}
 	for id := range b.slots {
 		if !used[id] {
--- a/route/view.go
+++ b/route/view.go
@@ -19,9 +19,9 @@
 
 // ModelView is one model as a snapshot shows it.
 type ModelView struct {
-	Model redwinghall.Model
-	Slots []*Backend
-	Gate  *admit.Gate[*Backend]
+	Model    redwinghall.Model
+	Backends []*Backend
+	Gate     *admit.Gate[*Backend]
 }
 
 // ServiceView is one plain service as a snapshot shows it.
