--- a/caller/server.go
+++ b/caller/server.go
@@ -64,7 +64,7 @@
 // Server answers callers.
 type Server struct {
 	config  Config
-	board   *route.Board
+	board   *route.Selector
 	keeper  *claim.Keeper
 	metrics *Metrics
 	budget  *Budget
@@ -84,7 +84,7 @@
 
 // NewServer returns a server. Service calls run in calls, because a call that
 // was sent is followed to its outcome also when its caller has gone.
-func NewServer(config Config, board *route.Board, keeper *claim.Keeper, calls *kernel.Group) *Server {
+func NewServer(config Config, board *route.Selector, keeper *claim.Keeper, calls *kernel.Group) *Server {
 	config = config.WithDefaults()
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Server{
--- a/daemon/router.go
+++ b/daemon/router.go
@@ -28,7 +28,7 @@
 type Router struct {
 	settings RouterSettings
 	Node     *peer.Node
-	Board    *route.Board
+	Board    *route.Selector
 	Server   *caller.Server
 	Keeper   *claim.Keeper
 	Poller   *endpoint.Poller
--- a/route/board.go
+++ b/route/board.go
@@ -10,8 +10,8 @@
 	"redwinghall/ramp"
 )
 
-// Board keeps the present view of one router.
-type Board struct {
+// Selector keeps the present view of one router.
+type Selector struct {
 	zone   string
 	self   string
 	bound  time.Duration
@@ -36,8 +36,8 @@
 }
 
 // NewBoard returns a board with an empty view.
-func NewBoard(c BoardConfig) *Board {
-	b := &Board{
+func NewBoard(c BoardConfig) *Selector {
+	b := &Selector{
 		zone: c.AvailabilityZone, self: c.Router, bound: c.AliveBound, ramp: c.Ramp, picker: c.Picker,
 		slots: map[string]*Backend{}, grants: map[string]time.Time{}, gates: map[string]*admit.Gate[*Backend]{},
 	}
@@ -46,11 +46,11 @@
 }
 
 // View returns the present view.
-func (b *Board) View() *View { return b.view.Load() }
+func (b *Selector) View() *View { return b.view.Load() }
 
 // gate returns the model's gate, which outlives views because requests wait
 // in it.
-func (b *Board) gate(model string) *admit.Gate[*Backend] {
+func (b *Selector) gate(model string) *admit.Gate[*Backend] {
 	g, ok := b.gates[model]
 	if !ok {
 		g = admit.NewGate(func() (*Backend, bool) {
@@ -62,7 +62,7 @@
 	return g
 }
 
-func (b *Board) pick(model string, q Query) *Backend {
+func (b *Selector) pick(model string, q Query) *Backend {
 	m, ok := b.View().Models[model]
 	if !ok {
 		return nil
@@ -71,29 +71,29 @@
 }
 
 // PickOther takes a unit of room in another slot than the one that failed.
-func (b *Board) PickOther(model string, now time.Time, failed *Backend) *Backend {
+func (b *Selector) PickOther(model string, now time.Time, failed *Backend) *Backend {
 	return b.pick(model, Query{Now: now, Bound: b.bound, Exclude: failed})
 }
 
 // PickPrefix takes a unit of room, with a hint where the prompt's beginning
 // was likely served before.
-func (b *Board) PickPrefix(model string, now time.Time, prefix uint64) *Backend {
+func (b *Selector) PickPrefix(model string, now time.Time, prefix uint64) *Backend {
 	return b.pick(model, Query{Now: now, Bound: b.bound, Prefix: prefix})
 }
 
 // Usable reports how many groups of the model may take work from this router
 // at now.
-func (b *Board) Usable(model string, now time.Time) int {
+func (b *Selector) Usable(model string, now time.Time) int {
 	return b.countSlots(model, func(s *Backend) bool { return s.Limit() > 0 && s.Usable(now, b.bound) })
 }
 
 // Whole reports how many groups of the model are whole at now, also those that
 // this router may not send to.
-func (b *Board) Whole(model string, now time.Time) int {
+func (b *Selector) Whole(model string, now time.Time) int {
 	return b.countSlots(model, func(s *Backend) bool { return s.Usable(now, b.bound) })
 }
 
-func (b *Board) countSlots(model string, counts func(*Backend) bool) int {
+func (b *Selector) countSlots(model string, counts func(*Backend) bool) int {
 	m, ok := b.View().Models[model]
 	if !ok {
 		return 0
@@ -110,7 +110,7 @@
 // Refresh hands the newest health to the slots, sets their limits, and lets
 // waiting requests through where room appeared. routers are the zone's live
 // routers.
-func (b *Board) Refresh(now time.Time, book *peer.HealthBook, routers []peer.Member) {
+func (b *Selector) Refresh(now time.Time, book *peer.HealthBook, routers []peer.Member) {
 	ids := make([]string, len(routers))
 	addresses := make(map[string]string, len(routers))
 	for i, r := range routers {
--- a/route/owner.go
+++ b/route/owner.go
@@ -29,7 +29,7 @@
 // ColdOwner returns the caller address of a router that feeds a cold group of
 // the model when this router may not send to any usable group itself; "" when
 // it may, or when there is none.
-func (b *Board) ColdOwner(model string, now time.Time, tried map[string]bool) string {
+func (b *Selector) ColdOwner(model string, now time.Time, tried map[string]bool) string {
 	m, ok := b.View().Models[model]
 	if !ok {
 		return ""
@@ -50,7 +50,7 @@
 }
 
 // granted returns until when this router may feed a cold group.
-func (b *Board) granted(group string, now time.Time) (time.Time, bool) {
+func (b *Selector) granted(group string, now time.Time) (time.Time, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	until, ok := b.grants[group]
@@ -62,7 +62,7 @@
 }
 
 // Granted takes note that this router may feed cold groups until a time.
-func (b *Board) Granted(groups []string, until time.Time) {
+func (b *Selector) Granted(groups []string, until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, g := range groups {
@@ -72,7 +72,7 @@
 
 // WantsGrant returns the cold groups that this router owns by hashing, and so
 // should ask to feed.
-func (b *Board) WantsGrant(routers []string) []string {
+func (b *Selector) WantsGrant(routers []string) []string {
 	var out []string
 	for _, model := range b.View().Models {
 		for _, s := range model.Backends {
--- a/route/rebuild.go
+++ b/route/rebuild.go
@@ -12,7 +12,7 @@
 )
 
 // Rebuild makes a new view from the registers.
-func (b *Board) Rebuild(store *peer.Store) {
+func (b *Selector) Rebuild(store *peer.Store) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	view := &View{
@@ -45,7 +45,7 @@
 	b.view.Store(view)
 }
 
-func (b *Board) fillGroups(view *View, store *peer.Store) {
+func (b *Selector) fillGroups(view *View, store *peer.Store) {
 	used := map[string]bool{}
 	for _, e := range store.List(peer.PrefixGroups(b.zone)) {
 		var g redwinghall.Group
@@ -66,7 +66,7 @@
 	}
 }
 
-func (b *Board) slot(g redwinghall.Group) *Backend {
+func (b *Selector) slot(g redwinghall.Group) *Backend {
 	s, ok := b.slots[g.ID]
 	if !ok {
 		s = NewBackend(g)
@@ -76,7 +76,7 @@
 	return s
 }
 
-func (b *Board) fillServices(view *View, store *peer.Store) {
+func (b *Selector) fillServices(view *View, store *peer.Store) {
 	e, ok := store.Get(peer.KeyServices(b.zone))
 	if !ok {
 		return
