--- a/route/board.go
+++ b/route/board.go
@@ -26,8 +26,8 @@
 	gates  map[string]*admit.Gate[*Backend]
 }
 
-// BoardConfig says whose board it is and how it decides.
-type BoardConfig struct {
+// SelectorConfig says whose board it is and how it decides.
+type SelectorConfig struct {
 	AvailabilityZone string
 	Router           string
 	AliveBound       time.Duration
@@ -36,7 +36,7 @@
 }
 
 // NewBoard returns a board with an empty view.
-func NewBoard(c BoardConfig) *Selector {
+func NewBoard(c SelectorConfig) *Selector {
 	b := &Selector{
 		zone: c.AvailabilityZone, self: c.Router, bound: c.AliveBound, ramp: c.Ramp, picker: c.Picker,
 		slots: map[string]*Backend{}, grants: map[string]time.Time{}, gates: map[string]*admit.Gate[*Backend]{},
