--- a/caller/fuzz_test.go
+++ b/caller/fuzz_test.go
@@ -36,7 +36,7 @@
 		f.Fatal(err)
 	}
 	store.Apply(peer.Entry{Key: peer.KeyManifest, Number: 1, Value: data})
-	board := route.NewBoard(route.SelectorConfig{AvailabilityZone: "tartu", Ramp: ramp.Owned{}, Picker: route.TwoChoices{}})
+	board := route.NewSelector(route.SelectorConfig{AvailabilityZone: "tartu", Ramp: ramp.Owned{}, Picker: route.TwoChoices{}})
 	board.Rebuild(store)
 	keeper := claim.NewKeeper(claim.Config{}, table.New(), claim.Never{})
 	handler := caller.NewServer(caller.Config{}, board, keeper, kernel.NewGroup(context.Background())).Handler()
--- a/daemon/router.go
+++ b/daemon/router.go
@@ -54,7 +54,7 @@
 	}, s.Peers, token)
 	node.Interval = s.ExchangeInterval.Std()
 	node.HealthBound = s.AliveBound.Std()
-	board := route.NewBoard(route.SelectorConfig{
+	board := route.NewSelector(route.SelectorConfig{
 		AvailabilityZone: s.AvailabilityZone, Router: s.ID, AliveBound: s.AliveBound.Std(),
 		Ramp: ramp.Owned{}, Picker: picker,
 	})
--- a/measure/snapshot.go
+++ b/measure/snapshot.go
@@ -51,7 +51,7 @@
 // board returns a router's board over the world, with every group whole.
 func (w world) board(now time.Time) (*route.Selector, *peer.Store) {
 	store := w.store()
-	b := route.NewBoard(route.SelectorConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
+	b := route.NewSelector(route.SelectorConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
 		Ramp: ramp.Owned{}, Picker: route.TwoChoices{}})
 	b.Rebuild(store)
 	book := peer.NewHealthBook()
--- a/route/board.go
+++ b/route/board.go
@@ -35,8 +35,8 @@
 	Picker           Picker
 }
 
-// NewBoard returns a board with an empty view.
-func NewBoard(c SelectorConfig) *Selector {
+// NewSelector returns a board with an empty view.
+func NewSelector(c SelectorConfig) *Selector {
 	b := &Selector{
 		zone: c.AvailabilityZone, self: c.Router, bound: c.AliveBound, ramp: c.Ramp, picker: c.Picker,
 		slots: map[string]*Backend{}, grants: map[string]time.Time{}, gates: map[string]*admit.Gate[*Backend]{},
