--- a/caller/chat.go
+++ b/caller/chat.go
@@ -86,7 +86,7 @@
 // group could take the request however long it waited.
 func (s *Server) enter(ctx context.Context, r *request, model *route.ModelView, prefix uint64) (*route.Backend, error) {
 	now := time.Now()
-	if s.board.Usable(model.Model.ID, now) == 0 {
+	if s.board.CountUsable(model.Model.ID, now) == 0 {
 		return nil, redwinghall.NewOpError("Server.enter", redwinghall.CodeNoCapacity, nil)
 	}
 	defer func() { observe(r.series.queue, time.Since(now)) }()
--- a/route/board.go
+++ b/route/board.go
@@ -81,9 +81,9 @@
 	return b.pick(model, Query{Now: now, Bound: b.bound, Prefix: prefix})
 }
 
-// Usable reports how many groups of the model may take work from this router
+// CountUsable reports how many groups of the model may take work from this router
 // at now.
-func (b *Selector) Usable(model string, now time.Time) int {
+func (b *Selector) CountUsable(model string, now time.Time) int {
 	return b.countSlots(model, func(s *Backend) bool { return s.Limit() > 0 && s.Usable(now, b.bound) })
 }
 
