--- a/caller/relay.go
+++ b/caller/relay.go
@@ -159,7 +159,7 @@
 			return where, nil
 		}
 	}
-	if !out && s.board.Whole(l.model.Model.ID, time.Now()) > 0 {
+	if !out && s.board.CountHealthy(l.model.Model.ID, time.Now()) > 0 {
 		return l.waitForGrant(ctx)
 	}
 	return target{}, redwinghall.NewOpError("relay.choose", redwinghall.CodeNoCapacity, nil)
--- a/route/board.go
+++ b/route/board.go
@@ -87,9 +87,9 @@
 	return b.countSlots(model, func(s *Backend) bool { return s.Limit() > 0 && s.Usable(now, b.bound) })
 }
 
-// Whole reports how many groups of the model are whole at now, also those that
+// CountHealthy reports how many groups of the model are whole at now, also those that
 // this router may not send to.
-func (b *Selector) Whole(model string, now time.Time) int {
+func (b *Selector) CountHealthy(model string, now time.Time) int {
 	return b.countSlots(model, func(s *Backend) bool { return s.Usable(now, b.bound) })
 }
 
