--- a/daemon/router.go
+++ b/daemon/router.go
@@ -143,7 +143,7 @@
 		klog.V(1).InfoS("no_grant", "cause", err.Error())
 		return
 	}
-	r.Board.Granted(granted, now.Add(ramp.GrantTTL))
+	r.Board.RecordGrants(granted, now.Add(ramp.GrantTTL))
 	r.Board.Refresh(time.Now(), r.Node.Health, r.Node.Live(peer.Router))
 }
 
--- a/route/owner.go
+++ b/route/owner.go
@@ -61,8 +61,8 @@
 	return until, ok
 }
 
-// Granted takes note that this router may feed cold groups until a time.
-func (b *Selector) Granted(groups []string, until time.Time) {
+// RecordGrants takes note that this router may feed cold groups until a time.
+func (b *Selector) RecordGrants(groups []string, until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, g := range groups {
