--- a/daemon/router.go
+++ b/daemon/router.go
@@ -134,7 +134,7 @@
 // askGrants asks the zone's holder for the cold groups that fall to this
 // router. A grant counts from now, before the asking.
 func (r *Router) askGrants(ctx context.Context, now time.Time) {
-	groups := r.Board.WantsGrant(endpoint.RouterIDs(r.Node))
+	groups := r.Board.OwnedColdGroups(endpoint.RouterIDs(r.Node))
 	if len(groups) == 0 {
 		return
 	}
--- a/route/owner.go
+++ b/route/owner.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// WantsGrant returns the cold groups that this router owns by hashing, and so
+// OwnedColdGroups returns the cold groups that this router owns by hashing, and so
 // should ask to feed.
-func (b *Selector) WantsGrant(routers []string) []string {
+func (b *Selector) OwnedColdGroups(routers []string) []string {
 	var out []string
 	for _, model := range b.View().Models {
 		for _, s := range model.Backends {
