--- a/route/owner.go
+++ b/route/owner.go
@@ -6,8 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owner returns which of the members owns an item: the one with the highest
-// hash (rendezvous hashing), so that a member's loss moves only its own items.
+// Owner returns the member that owns an item: the one with the highest hash
+// (rendezvous hashing). The loss of a member therefore moves only the items
+// that it owned.
 func Owner(item string, members []string) string {
 	best, bestScore := "", uint64(0)
 	for _, m := range members {
@@ -26,58 +27,60 @@
 	return addresses[owner]
 }
 
-// ColdOwner returns the caller address of a router that feeds a cold group of
-// the model when this router may not send to any usable group itself; "" when
-// it may, or when there is none.
-func (b *Selector) ColdOwner(model string, now time.Time, tried map[string]bool) string {
-	m, ok := b.View().Models[model]
+// ColdOwner returns the caller address of a router that sends to a cold group
+// of the model. It returns "" when this router may send to a usable group
+// itself or when there is no such router. tried holds addresses to leave out.
+func (s *Selector) ColdOwner(model string, now time.Time, tried map[string]bool) string {
+	m, ok := s.View().Models[model]
 	if !ok {
 		return ""
 	}
 	found := ""
-	for _, s := range m.Backends {
-		if !s.Usable(now, b.bound) {
+	for _, b := range m.Backends {
+		if !b.Usable(now, s.aliveBound) {
 			continue
 		}
-		if s.Limit() > 0 {
+		if b.Limit() > 0 {
 			return ""
 		}
-		if owner := s.Owner(); owner != "" && !tried[owner] {
+		if owner := b.Owner(); owner != "" && !tried[owner] {
 			found = owner
 		}
 	}
 	return found
 }
 
-// granted returns until when this router may feed a cold group.
-func (b *Selector) granted(group string, now time.Time) (time.Time, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	until, ok := b.grants[group]
+// activeGrant returns until when this router may send to a cold group, and
+// false when it holds no grant for it or the grant has expired.
+func (s *Selector) activeGrant(group string, now time.Time) (time.Time, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	until, ok := s.grants[group]
 	if ok && !now.Before(until) {
-		delete(b.grants, group)
+		delete(s.grants, group)
 		return time.Time{}, false
 	}
 	return until, ok
 }
 
-// RecordGrants takes note that this router may feed cold groups until a time.
-func (b *Selector) RecordGrants(groups []string, until time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RecordGrants records that this router may send to the cold groups until the
+// given time.
+func (s *Selector) RecordGrants(groups []string, until time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, g := range groups {
-		b.grants[g] = until
+		s.grants[g] = until
 	}
 }
 
-// OwnedColdGroups returns the cold groups that this router owns by hashing, and so
-// should ask to feed.
-func (b *Selector) OwnedColdGroups(routers []string) []string {
+// OwnedColdGroups returns the cold groups that this router owns by hashing.
+// The router should request grants for them.
+func (s *Selector) OwnedColdGroups(routers []string) []string {
 	var out []string
-	for _, model := range b.View().Models {
-		for _, s := range model.Backends {
-			g, h := s.Group(), s.Health()
-			if !g.Leaving && h.Generation == g.Generation && int(h.Completed) < g.WarmAfter && Owner(g.ID, routers) == b.self {
+	for _, model := range s.View().Models {
+		for _, b := range model.Backends {
+			g, h := b.Group(), b.Health()
+			if !g.Leaving && h.Generation == g.Generation && int(h.Completed) < g.WarmAfter && Owner(g.ID, routers) == s.self {
 				out = append(out, g.ID)
 			}
 		}
--- a/route/rebuild.go
+++ b/route/rebuild.go
@@ -11,19 +11,20 @@
 	"redwinghall/peer"
 )
 
-// Rebuild makes a new view from the registers.
-func (b *Selector) Rebuild(store *peer.Store) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Rebuild replaces the view by one built from the registers. If the manifest
+// cannot be decoded, the current view stays.
+func (s *Selector) Rebuild(store *peer.Store) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	view := &View{
 		Zones:    zonesOf(store),
-		Gateways: gatewaysOf(store, b.zone),
+		Gateways: gatewaysOf(store, s.zone),
 		Models:   map[string]*ModelView{},
 		Services: map[string]*ServiceView{},
 		accounts: map[[sha256.Size]byte]redwinghall.ClientAccount{},
 	}
 	if e, ok := store.Get(peer.KeyManifest); ok && !decode(e, &view.Accepted) {
-		return // the view in force stays
+		return // keep the current view
 	}
 	manifest := view.Accepted.Manifest
 	for _, a := range manifest.ClientAccounts {
@@ -35,19 +36,19 @@
 		}
 	}
 	for _, m := range manifest.Models {
-		view.Models[m.ID] = &ModelView{Model: m, Gate: b.gate(m.ID)}
+		view.Models[m.ID] = &ModelView{Model: m, Gate: s.gate(m.ID)}
 	}
-	for _, s := range manifest.Services {
-		view.Services[s.ID] = &ServiceView{Service: s}
+	for _, service := range manifest.Services {
+		view.Services[service.ID] = &ServiceView{Service: service}
 	}
-	b.fillGroups(view, store)
-	b.fillServices(view, store)
-	b.view.Store(view)
+	s.fillGroups(view, store)
+	s.fillServices(view, store)
+	s.view.Store(view)
 }
 
-func (b *Selector) fillGroups(view *View, store *peer.Store) {
+func (s *Selector) fillGroups(view *View, store *peer.Store) {
 	used := map[string]bool{}
-	for _, e := range store.List(peer.PrefixGroups(b.zone)) {
+	for _, e := range store.List(peer.PrefixGroups(s.zone)) {
 		var g redwinghall.Group
 		if !decode(e, &g) || g.Dissolved {
 			continue
@@ -57,27 +58,28 @@
 			continue
 		}
 		used[g.ID] = true
-		model.Backends = append(model.Backends, b.slot(g))
+		model.Backends = append(model.Backends, s.backend(g))
 	}
-	for id := range b.slots {
+	for id := range s.backends {
 		if !used[id] {
-			delete(b.slots, id)
+			delete(s.backends, id)
 		}
 	}
 }
 
-func (b *Selector) slot(g redwinghall.Group) *Backend {
-	s, ok := b.slots[g.ID]
+// backend returns the backend of a group, creating it if it is new.
+func (s *Selector) backend(g redwinghall.Group) *Backend {
+	b, ok := s.backends[g.ID]
 	if !ok {
-		s = NewBackend(g)
-		b.slots[g.ID] = s
+		b = NewBackend(g)
+		s.backends[g.ID] = b
 	}
-	s.SetGroup(g)
-	return s
+	b.SetGroup(g)
+	return b
 }
 
-func (b *Selector) fillServices(view *View, store *peer.Store) {
-	e, ok := store.Get(peer.KeyServices(b.zone))
+func (s *Selector) fillServices(view *View, store *peer.Store) {
+	e, ok := store.Get(peer.KeyServices(s.zone))
 	if !ok {
 		return
 	}
@@ -85,9 +87,9 @@
 	if !decode(e, &endpoints) {
 		return
 	}
-	for _, one := range endpoints {
-		if s, ok := view.Services[one.Service]; ok {
-			s.Endpoints = append(s.Endpoints, one)
+	for _, e := range endpoints {
+		if service, ok := view.Services[e.Service]; ok {
+			service.Endpoints = append(service.Endpoints, e)
 		}
 	}
 }
@@ -114,8 +116,8 @@
 	return out
 }
 
-// decode reads a register's value; one that cannot be read is logged and left
-// out, so that one bad record does not stop the rest.
+// decode unmarshals the value of a register. An invalid value is logged and
+// skipped, so that one bad record does not affect the others.
 func decode(e peer.Entry, out any) bool {
 	if err := json.Unmarshal(e.Value, out); err != nil {
 		klog.ErrorS(err, "register_unreadable", "key", e.Key)
--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,6 @@
-// Package route chooses the group that a request goes to. It takes no locks:
-// groups are slots with atomic counters, reached through an immutable view.
+// Package route chooses the group that serves a request. A choice takes no
+// locks: each group is a Backend with atomic counters, reached through an
+// immutable View.
 package route
 
 import (
@@ -12,195 +13,202 @@
 	"redwinghall/kernel"
 )
 
-// Backend is one group as this router uses it. The slot outlives snapshots, so
-// that requests in progress stay counted.
+// Backend is one group and what this router knows and counts of it. It outlives
+// views, so that requests in progress stay counted.
 type Backend struct {
 	group    atomic.Pointer[redwinghall.Group]
 	health   atomic.Pointer[redwinghall.GroupHealth]
 	limit    atomic.Int32
 	inFlight atomic.Int32
-	// avoidUntil, in nanoseconds since 1970, keeps a group that just failed a
-	// request out of the first choice.
+	// avoidUntil is a Unix time in nanoseconds. Until then, a group that has
+	// failed a request is chosen only when no other can take the request.
 	avoidUntil atomic.Int64
-	// owner is the caller address of the router that feeds the group while it
-	// is cold; empty when this router may send itself.
+	// owner is the caller address of the router that sends to the group while
+	// it is cold; empty when this router may send to it.
 	owner atomic.Pointer[string]
-	// validUntil, in nanoseconds since 1970, ends the limit: that of a cold
-	// group ends with its grant, whatever this router does in between.
+	// validUntil is the Unix time in nanoseconds at which the limit expires.
+	// The limit of a cold group expires with its grant, even if this router
+	// sets no new limit in between.
 	validUntil atomic.Int64
 }
 
-// NewBackend returns a slot of the group that takes no work until it has health
-// and a limit.
+// NewBackend returns a backend for the group. It accepts no requests until its
+// health and a limit are set.
 func NewBackend(g redwinghall.Group) *Backend {
-	s := &Backend{}
-	s.group.Store(&g)
-	return s
+	b := &Backend{}
+	b.group.Store(&g)
+	return b
 }
 
-// Group returns the group as last set.
-func (s *Backend) Group() redwinghall.Group { return *s.group.Load() }
+// Group returns the record of the group.
+func (b *Backend) Group() redwinghall.Group { return *b.group.Load() }
 
 // SetGroup replaces the group's record.
-func (s *Backend) SetGroup(g redwinghall.Group) { s.group.Store(&g) }
+func (b *Backend) SetGroup(g redwinghall.Group) { b.group.Store(&g) }
 
-// SetHealth replaces what is known of the group's members.
-func (s *Backend) SetHealth(h redwinghall.GroupHealth) { s.health.Store(&h) }
+// SetHealth replaces the observed health of the group's members.
+func (b *Backend) SetHealth(h redwinghall.GroupHealth) { b.health.Store(&h) }
 
-// Health returns what is known of the group's members.
-func (s *Backend) Health() redwinghall.GroupHealth {
-	if h := s.health.Load(); h != nil {
+// Health returns the observed health of the group's members.
+func (b *Backend) Health() redwinghall.GroupHealth {
+	if h := b.health.Load(); h != nil {
 		return *h
 	}
 	return redwinghall.GroupHealth{}
 }
 
-// SetLimit sets how many requests this router may have in the group until a
-// time; the zero time sets no end.
-func (s *Backend) SetLimit(n int, until time.Time) {
+// SetLimit limits the number of requests in flight from this router to the
+// group. The limit expires at until; with a zero until it does not expire.
+func (b *Backend) SetLimit(n int, until time.Time) {
 	end := int64(math.MaxInt64)
 	if !until.IsZero() {
 		end = until.UnixNano()
 	}
-	s.validUntil.Store(end)
-	s.limit.Store(int32(n))
+	b.validUntil.Store(end)
+	b.limit.Store(int32(n))
 }
 
-// Limit returns how many requests this router may have in the group.
-func (s *Backend) Limit() int { return int(s.limit.Load()) }
+// Limit returns how many requests from this router may be in flight.
+func (b *Backend) Limit() int { return int(b.limit.Load()) }
 
-// SetOwner names the router that feeds the group while it is cold; empty when
-// this router may send itself.
-func (s *Backend) SetOwner(callerAddress string) { s.owner.Store(&callerAddress) }
+// SetOwner sets the caller address of the router that sends to the group while
+// it is cold; empty when this router may send to it.
+func (b *Backend) SetOwner(callerAddress string) { b.owner.Store(&callerAddress) }
 
-// Owner returns the router that feeds the group while it is cold, or "".
-func (s *Backend) Owner() string {
-	if p := s.owner.Load(); p != nil {
+// Owner returns the caller address of the router that sends to the group while
+// it is cold, or "".
+func (b *Backend) Owner() string {
+	if p := b.owner.Load(); p != nil {
 		return *p
 	}
 	return ""
 }
 
-// InFlight returns how many requests this router has in the group.
-func (s *Backend) InFlight() int { return int(s.inFlight.Load()) }
+// InFlight returns the number of requests in flight from this router.
+func (b *Backend) InFlight() int { return int(b.inFlight.Load()) }
 
-// Avoid keeps the slot out of the first choice until the given time.
-func (s *Backend) Avoid(until time.Time) { s.avoidUntil.Store(until.UnixNano()) }
+// Avoid makes pickers choose the backend only as a last resort until the given
+// time.
+func (b *Backend) Avoid(until time.Time) { b.avoidUntil.Store(until.UnixNano()) }
 
-// Usable reports whether the group may take a new request at now.
-func (s *Backend) Usable(now time.Time, bound time.Duration) bool {
-	g := s.group.Load()
+// Usable reports whether the group can take a new request at now. Every member
+// must have been seen within bound.
+func (b *Backend) Usable(now time.Time, bound time.Duration) bool {
+	g := b.group.Load()
 	if g.Leaving {
 		return false
 	}
-	h := s.health.Load()
+	h := b.health.Load()
 	return h != nil && h.Whole(*g, now, bound)
 }
 
-// TryAcquire counts one more request unless the limit is reached.
-func (s *Backend) TryAcquire() bool {
+// TryAcquire acquires a slot unless the limit is reached.
+func (b *Backend) TryAcquire() bool {
 	for {
-		n := s.inFlight.Load()
-		if n >= s.limit.Load() {
+		n := b.inFlight.Load()
+		if n >= b.limit.Load() {
 			return false
 		}
-		if s.inFlight.CompareAndSwap(n, n+1) {
+		if b.inFlight.CompareAndSwap(n, n+1) {
 			return true
 		}
 	}
 }
 
-// Release counts one request less.
-func (s *Backend) Release() { s.inFlight.Add(-1) }
+// Release releases a slot.
+func (b *Backend) Release() { b.inFlight.Add(-1) }
 
-// enter counts a request that may go to the slot, and reports whether it may.
-func (s *Backend) enter(q Query) bool {
-	return s != q.Exclude && q.Now.UnixNano() < s.validUntil.Load() && s.Usable(q.Now, q.Bound) && s.TryAcquire()
+// tryAcquireFor acquires a slot for the query if the backend may serve it, and
+// reports whether it did.
+func (b *Backend) tryAcquireFor(q Query) bool {
+	return b != q.Exclude && q.Now.UnixNano() < b.validUntil.Load() && b.Usable(q.Now, q.Bound) && b.TryAcquire()
 }
 
-func (s *Backend) avoided(now time.Time) bool { return s.avoidUntil.Load() > now.UnixNano() }
+func (b *Backend) avoided(now time.Time) bool { return b.avoidUntil.Load() > now.UnixNano() }
 
-// load compares slots by the part of their limit that is used.
-func (s *Backend) load() float64 {
-	limit := s.limit.Load()
+// load returns the used fraction of the limit.
+func (b *Backend) load() float64 {
+	limit := b.limit.Load()
 	if limit <= 0 {
 		return 1
 	}
-	return float64(s.inFlight.Load()) / float64(limit)
+	return float64(b.inFlight.Load()) / float64(limit)
 }
 
-// Query is what a picker may use to choose.
+// Query holds the criteria for a choice.
 type Query struct {
 	Now   time.Time
-	Bound time.Duration // how long ago every member must have been seen
-	// Prefix is a hash of the prompt's beginning; zero: no preference.
+	Bound time.Duration // every member must have been seen within this time
+	// Prefix is a hash of the prompt prefix; zero means no preference.
 	Prefix uint64
-	// Exclude is a slot that already failed this request.
+	// Exclude is a backend that has already failed this request.
 	Exclude *Backend
 }
 
-// Picker chooses a slot and counts the request in it; nil when none can take
-// one more.
+// Picker chooses a backend and acquires a slot on it. It returns nil when no
+// backend has a free slot.
 type Picker interface {
-	Pick(q Query, slots []*Backend) *Backend
+	Pick(q Query, backends []*Backend) *Backend
 }
 
-// Pickers holds the known pickers by name.
+// Pickers holds the available pickers by name.
 var Pickers = kernel.NewRegistry[Picker]("picker")
 
-// DefaultPicker is the picker that settings name when they name none.
+// DefaultPicker is the picker that is used when the settings name none.
 const DefaultPicker = "two_choices"
 
 func init() { Pickers.Register(DefaultPicker, TwoChoices{}) }
 
-// TwoChoices compares two slots and takes the less loaded, so that the cost
-// of a choice does not grow with the number of groups. The first of the two
-// is where the prompt's beginning was likely served before: a hint that a
-// cache holds it, which gives way as soon as that slot is clearly busier.
+// TwoChoices compares two backends and takes the less loaded (power of two
+// choices), so that the cost of a choice does not grow with the number of
+// groups. Given a prompt prefix, the first candidate is the one that probably
+// served it before and has it cached; it loses this preference once it is clearly
+// more loaded than the other.
 type TwoChoices struct{}
 
-// hintBias is how much more loaded the hinted slot may be and still be taken.
-const hintBias = 0.25
+// prefixLoadTolerance is how much higher the load of the backend preferred for
+// a prompt prefix may be for it still to be chosen.
+const prefixLoadTolerance = 0.25
 
 // Pick implements Picker.
-func (t TwoChoices) Pick(q Query, slots []*Backend) *Backend {
-	if len(slots) == 0 {
+func (t TwoChoices) Pick(q Query, backends []*Backend) *Backend {
+	if len(backends) == 0 {
 		return nil
 	}
-	first, bias := slots[rand.IntN(len(slots))], 0.0
+	first, bias := backends[rand.IntN(len(backends))], 0.0
 	if q.Prefix != 0 {
-		first, bias = slots[q.Prefix%uint64(len(slots))], hintBias
+		first, bias = backends[q.Prefix%uint64(len(backends))], prefixLoadTolerance
 	}
-	second := slots[rand.IntN(len(slots))]
+	second := backends[rand.IntN(len(backends))]
 	if second.load()+bias < first.load() {
 		first, second = second, first
 	}
-	for _, s := range []*Backend{first, second} {
-		if t.take(q, s) {
-			return s
+	for _, b := range []*Backend{first, second} {
+		if t.tryPreferred(q, b) {
+			return b
 		}
 	}
-	return t.scan(q, slots)
+	return t.scan(q, backends)
 }
 
-func (TwoChoices) take(q Query, s *Backend) bool {
-	return !s.avoided(q.Now) && s.enter(q)
+func (TwoChoices) tryPreferred(q Query, b *Backend) bool {
+	return !b.avoided(q.Now) && b.tryAcquireFor(q)
 }
 
-// scan is the way out when both choices were unusable or full: every slot is
-// tried from a random start, those to be avoided last.
-func (t TwoChoices) scan(q Query, slots []*Backend) *Backend {
-	start := rand.IntN(len(slots))
-	for i := range slots {
-		s := slots[(start+i)%len(slots)]
-		if t.take(q, s) {
-			return s
+// scan is the fallback when both candidates are unusable or full. It tries
+// every backend from a random start, those to avoid last.
+func (t TwoChoices) scan(q Query, backends []*Backend) *Backend {
+	start := rand.IntN(len(backends))
+	for i := range backends {
+		b := backends[(start+i)%len(backends)]
+		if t.tryPreferred(q, b) {
+			return b
 		}
 	}
-	for i := range slots {
-		s := slots[(start+i)%len(slots)]
-		if s.enter(q) {
-			return s
+	for i := range backends {
+		b := backends[(start+i)%len(backends)]
+		if b.tryAcquireFor(q) {
+			return b
 		}
 	}
 	return nil
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -16,7 +16,7 @@
 	bound = 2 * time.Second
 )
 
-func slots(n, limit int) []*route.Backend {
+func backends(n, limit int) []*route.Backend {
 	out := make([]*route.Backend, n)
 	for i := range out {
 		id := fmt.Sprint("g", i)
@@ -29,25 +29,25 @@
 
 func query() route.Query { return route.Query{Now: start, Bound: bound} }
 
-func TestPickTakesOnlyUsableSlots(t *testing.T) {
+func TestPickTakesOnlyUsableBackends(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(*route.Backend)
+		name    string
+		disable func(*route.Backend)
 	}{
-		{"not seen within the bound", func(s *route.Backend) {
-			s.SetHealth(redwinghall.GroupHealth{Generation: 1, Ready: true, SeenAt: start.Add(-3 * time.Second)})
+		{"not seen within the bound", func(b *route.Backend) {
+			b.SetHealth(redwinghall.GroupHealth{Generation: 1, Ready: true, SeenAt: start.Add(-3 * time.Second)})
 		}},
-		{"ordered anew", func(s *route.Backend) { s.SetGroup(s.Group().WithGeneration(2)) }},
-		{"leaving", func(s *route.Backend) { s.SetGroup(s.Group().WithLeaving()) }},
-		{"full", func(s *route.Backend) { s.SetLimit(0, time.Time{}) }},
-		{"grant ended", func(s *route.Backend) { s.SetLimit(1000, start) }},
-		{"avoided after a failure", func(s *route.Backend) { s.Avoid(start.Add(time.Second)) }},
+		{"newer generation", func(b *route.Backend) { b.SetGroup(b.Group().WithGeneration(2)) }},
+		{"leaving", func(b *route.Backend) { b.SetGroup(b.Group().WithLeaving()) }},
+		{"full", func(b *route.Backend) { b.SetLimit(0, time.Time{}) }},
+		{"grant ended", func(b *route.Backend) { b.SetLimit(1000, start) }},
+		{"avoided after a failure", func(b *route.Backend) { b.Avoid(start.Add(time.Second)) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			all := slots(3, 1000)
-			tt.spoil(all[0])
-			tt.spoil(all[1])
+			all := backends(3, 1000)
+			tt.disable(all[0])
+			tt.disable(all[1])
 			for range 100 {
 				require.Same(t, all[2], route.TwoChoices{}.Pick(query(), all))
 			}
@@ -56,7 +56,7 @@
 }
 
 func TestPickAvoidedIsBetterThanNone(t *testing.T) {
-	all := slots(1, 1)
+	all := backends(1, 1)
 	all[0].Avoid(start.Add(time.Second))
 	require.Same(t, all[0], route.TwoChoices{}.Pick(query(), all))
 	require.Nil(t, route.TwoChoices{}.Pick(query(), all), "full")
@@ -67,27 +67,27 @@
 }
 
 func TestPrefixHintGivesWayToLoad(t *testing.T) {
-	all := slots(4, 100)
+	all := backends(4, 100)
 	q := query()
-	q.Prefix = 6 // the third slot
+	q.Prefix = 6 // maps to the third backend
 	for range 20 {
 		require.Same(t, all[2], route.TwoChoices{}.Pick(q, all))
 	}
 	for range 400 {
 		route.TwoChoices{}.Pick(q, all)
 	}
-	for _, s := range all {
-		require.Positive(t, s.InFlight(), "a hot prefix spreads before its slot is full")
+	for _, b := range all {
+		require.Positive(t, b.InFlight(), "requests with one prefix spread before the preferred backend is full")
 	}
 }
 
 func TestPickSpreadsLoad(t *testing.T) {
-	all := slots(10, 1000)
+	all := backends(10, 1000)
 	for range 1000 {
 		require.NotNil(t, route.TwoChoices{}.Pick(query(), all))
 	}
-	for _, s := range all {
-		require.InDelta(t, 100, s.InFlight(), 30)
+	for _, b := range all {
+		require.InDelta(t, 100, b.InFlight(), 30)
 	}
 }
 
@@ -100,7 +100,7 @@
 		if without := route.Owner(item, []string{"a", "b", "c"}); owner == "d" {
 			moved++
 		} else {
-			require.Equal(t, owner, without, "an item of a router that stays has not moved")
+			require.Equal(t, owner, without, "items of the remaining routers do not move")
 		}
 	}
 	require.InDelta(t, 50, moved, 30)
@@ -109,7 +109,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{20, 80, 325} {
 		b.Run(fmt.Sprint("groups=", n), func(b *testing.B) {
-			all := slots(n, 1<<30)
+			all := backends(n, 1<<30)
 			q := query()
 			for b.Loop() {
 				q.Prefix += 0x9e3779b97f4a7c15
--- a/route/view.go
+++ b/route/view.go
@@ -7,33 +7,33 @@
 	"redwinghall/admit"
 )
 
-// Gateway is where a zone takes work that another zone forwards.
+// Gateway describes where a zone accepts requests that other zones forward.
 type Gateway struct {
 	AvailabilityZone string   `json:"availability_zone"`
-	Routers          []string `json:"routers"` // host:port of caller listeners
-	// Models are those that have a serving group there.
+	Routers          []string `json:"routers"` // host:port of their caller listeners
+	// Models lists the models with a serving group in the zone.
 	Models []string `json:"models"`
-	// Services are those that have an endpoint there.
+	// Services lists the services with an endpoint in the zone.
 	Services []string `json:"services"`
 }
 
-// ModelView is one model as a snapshot shows it.
+// ModelView is one model and its backends in a view.
 type ModelView struct {
 	Model    redwinghall.Model
 	Backends []*Backend
 	Gate     *admit.Gate[*Backend]
 }
 
-// ServiceView is one plain service as a snapshot shows it.
+// ServiceView is one plain service and its endpoints in a view.
 type ServiceView struct {
 	Service   redwinghall.Service
 	Endpoints redwinghall.ServiceEndpoints
 }
 
-// View is an immutable snapshot of what a router routes by. A request reads
-// one view through an atomic pointer and takes no lock for it.
+// View is an immutable snapshot of a router's routing data. A request loads one
+// view through an atomic pointer, without a lock.
 type View struct {
-	Accepted redwinghall.Accepted // generation 0: none learned yet
+	Accepted redwinghall.Accepted // generation 0: no manifest received yet
 	Zones    map[string]redwinghall.AvailabilityZone
 	Gateways []Gateway
 	Models   map[string]*ModelView
@@ -42,9 +42,9 @@
 	accounts map[[sha256.Size]byte]redwinghall.ClientAccount
 }
 
-// Account returns the client account of an API key. The key's SHA-256 is what
-// is looked up, so the time taken tells nothing about the key; the account
-// then compares it again in constant time.
+// Account returns the client account of an API key. The lookup is by the SHA-256
+// of the key, so its timing reveals nothing about the key. The account then
+// compares the key in constant time.
 func (v *View) Account(key string) (redwinghall.ClientAccount, bool) {
 	account, ok := v.accounts[sha256.Sum256([]byte(key))]
 	if !ok || !account.HasKey(key) {
