--- a/peer/health_cache.go
+++ b/peer/health_cache.go
@@ -7,16 +7,16 @@
 	"redwinghall"
 )
 
-// HealthBook holds the newest health of each group of the zone, from this
+// HealthCache holds the newest health of each group of the zone, from this
 // process's own polls and from its peers.
-type HealthBook struct {
+type HealthCache struct {
 	mu     sync.Mutex
 	groups map[string]redwinghall.GroupHealth
 }
 
 // NewHealthBook returns an empty book.
-func NewHealthBook() *HealthBook {
-	return &HealthBook{groups: map[string]redwinghall.GroupHealth{}}
+func NewHealthBook() *HealthCache {
+	return &HealthCache{groups: map[string]redwinghall.GroupHealth{}}
 }
 
 // Merge takes in an observation of a group. It reports whether this takes the
@@ -27,7 +27,7 @@
 // would then be sent to a replica that misses a VM. Broken is therefore final for its
 // generation, and only a higher generation, a new order, replaces it. A
 // refused connection counts until all members were asked again later.
-func (b *HealthBook) Merge(h redwinghall.GroupHealth) (newlyOut bool) {
+func (b *HealthCache) Merge(h redwinghall.GroupHealth) (newlyOut bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	held, ok := b.groups[h.Group]
@@ -61,7 +61,7 @@
 }
 
 // Get returns the newest health of a group.
-func (b *HealthBook) Get(group string) (redwinghall.GroupHealth, bool) {
+func (b *HealthCache) Get(group string) (redwinghall.GroupHealth, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h, ok := b.groups[group]
@@ -70,7 +70,7 @@
 
 // Fresh returns the observations that are not older than bound, and the broken
 // ones.
-func (b *HealthBook) Fresh(now time.Time, bound time.Duration) []redwinghall.GroupHealth {
+func (b *HealthCache) Fresh(now time.Time, bound time.Duration) []redwinghall.GroupHealth {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []redwinghall.GroupHealth
@@ -87,7 +87,7 @@
 
 // Newer returns the observations that are worth sending to a peer that has
 // theirs, which is keyed by group.
-func (b *HealthBook) Newer(now time.Time, bound time.Duration, theirs map[string]redwinghall.GroupHealth) []redwinghall.GroupHealth {
+func (b *HealthCache) Newer(now time.Time, bound time.Duration, theirs map[string]redwinghall.GroupHealth) []redwinghall.GroupHealth {
 	var out []redwinghall.GroupHealth
 	for _, h := range b.Fresh(now, bound) {
 		t, ok := theirs[h.Group]
@@ -106,7 +106,7 @@
 }
 
 // Forget drops groups that no longer exist.
-func (b *HealthBook) Forget(keep func(group string) bool) {
+func (b *HealthCache) Forget(keep func(group string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id := range b.groups {
--- a/peer/node.go
+++ b/peer/node.go
@@ -49,7 +49,7 @@
 type Node struct {
 	Self   Member
 	Store  *Store
-	Health *HealthBook
+	Health *HealthCache
 	// Interval between periodic exchanges.
 	Interval time.Duration
 	// HealthBound is the age at which an observation of a group is no longer passed on.
--- a/route/selector.go
+++ b/route/selector.go
@@ -111,7 +111,7 @@
 // Refresh updates the health and the limit of each backend and wakes waiting
 // requests when capacity has become available. routers are the live routers of
 // the zone.
-func (s *Selector) Refresh(now time.Time, health *peer.HealthBook, routers []peer.Member) {
+func (s *Selector) Refresh(now time.Time, health *peer.HealthCache, routers []peer.Member) {
 	ids := make([]string, len(routers))
 	addresses := make(map[string]string, len(routers))
 	for i, r := range routers {
