--- a/health/health_test.go
+++ b/health/health_test.go
@@ -91,7 +91,7 @@
 // an older word from another router arrives after it.
 // Cause: a group counted as whole until its last sighting grew old.
 func TestRefusedMemberTakesGroupOutAtOnce(t *testing.T) {
-	book := peer.NewHealthBook()
+	book := peer.NewHealthCache()
 	tracker := health.NewTracker(pair())
 	tracker.Observe(0, report("s"), start)
 	tracker.Observe(1, report("t"), start)
@@ -114,7 +114,7 @@
 // was on its way since before the restart arrives from a peer.
 // Cause: the later arrival replaced the newer knowledge.
 func TestBrokenIsFinalForItsGeneration(t *testing.T) {
-	book := peer.NewHealthBook()
+	book := peer.NewHealthCache()
 	broken := redwinghall.GroupHealth{Group: "g", Generation: 3, Broken: true, Ready: true, SeenAt: start}
 	require.True(t, book.Merge(broken))
 	require.False(t, book.Merge(broken), "known already")
--- a/measure/snapshot.go
+++ b/measure/snapshot.go
@@ -54,7 +54,7 @@
 	b := route.NewSelector(route.SelectorConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
 		Ramp: ramp.Owned{}, Picker: route.TwoChoices{}})
 	b.Rebuild(store)
-	book := peer.NewHealthBook()
+	book := peer.NewHealthCache()
 	for i := range w.groups {
 		book.Merge(redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Completed: 10})
 	}
@@ -113,7 +113,7 @@
 			}
 		})
 		decision = append(decision, Point{float64(n), float64(r.NsPerOp())})
-		book := peer.NewHealthBook()
+		book := peer.NewHealthCache()
 		for i := range n {
 			book.Merge(redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Completed: 10})
 		}
--- a/peer/health_cache.go
+++ b/peer/health_cache.go
@@ -14,8 +14,8 @@
 	groups map[string]redwinghall.GroupHealth
 }
 
-// NewHealthBook returns an empty book.
-func NewHealthBook() *HealthCache {
+// NewHealthCache returns an empty book.
+func NewHealthCache() *HealthCache {
 	return &HealthCache{groups: map[string]redwinghall.GroupHealth{}}
 }
 
--- a/peer/node.go
+++ b/peer/node.go
@@ -81,7 +81,7 @@
 func NewNode(self Member, seeds []Member, token string) *Node {
 	traffic := &Traffic{}
 	return &Node{
-		Self: self, Store: NewStore(), Health: NewHealthBook(),
+		Self: self, Store: NewStore(), Health: NewHealthCache(),
 		Interval: DefaultInterval, HealthBound: 3 * time.Second,
 		Traffic: traffic,
 		token:   token, client: newClient(traffic, token), seeds: seeds,
