--- a/endpoint/poller.go
+++ b/endpoint/poller.go
@@ -64,7 +64,7 @@
 			delete(p.trackers, id)
 		}
 	}
-	p.node.Health.Forget(func(id string) bool { return known[id] })
+	p.node.Health.Retain(func(id string) bool { return known[id] })
 }
 
 func (p *Poller) tracker(g redwinghall.Group) *health.Tracker {
--- a/endpoint/publish.go
+++ b/endpoint/publish.go
@@ -37,7 +37,7 @@
 		}
 	}
 	m.node.Publish(entries...)
-	m.node.Health.Forget(func(id string) bool {
+	m.node.Health.Retain(func(id string) bool {
 		_, ok := groups[id]
 		return ok
 	})
--- a/peer/health_cache.go
+++ b/peer/health_cache.go
@@ -105,8 +105,8 @@
 	return (h.Broken && !t.Broken) || h.SeenAt.Sub(t.SeenAt) > minAdvance || h.LostAt.Sub(t.LostAt) > minAdvance
 }
 
-// Forget drops groups that no longer exist.
-func (b *HealthCache) Forget(keep func(group string) bool) {
+// Retain drops groups that no longer exist.
+func (b *HealthCache) Retain(keep func(group string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id := range b.groups {
