--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -26,7 +26,7 @@
 func (n *Node) periodicExchange(now time.Time, health bool) outgoing {
 	out := outgoing{wantHealth: health, repair: true}
 	if health {
-		out.health = n.Health.Fresh(now, n.HealthBound)
+		out.health = n.Health.Recent(now, n.HealthBound)
 	}
 	return out
 }
--- a/peer/health_cache.go
+++ b/peer/health_cache.go
@@ -68,9 +68,9 @@
 	return h, ok
 }
 
-// Fresh returns the observations that are not older than bound, and the broken
+// Recent returns the observations that are not older than bound, and the broken
 // ones.
-func (b *HealthCache) Fresh(now time.Time, bound time.Duration) []redwinghall.GroupHealth {
+func (b *HealthCache) Recent(now time.Time, bound time.Duration) []redwinghall.GroupHealth {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []redwinghall.GroupHealth
@@ -89,7 +89,7 @@
 // theirs, which is keyed by group.
 func (b *HealthCache) Newer(now time.Time, bound time.Duration, theirs map[string]redwinghall.GroupHealth) []redwinghall.GroupHealth {
 	var out []redwinghall.GroupHealth
-	for _, h := range b.Fresh(now, bound) {
+	for _, h := range b.Recent(now, bound) {
 		t, ok := theirs[h.Group]
 		if !ok || tellsMore(h, t) {
 			out = append(out, h)
