--- a/peer/push.go
+++ b/peer/push.go
@@ -97,7 +97,7 @@
 // Wanted returns which offers to take: those that are newer than what is held
 // and that no other peer was asked for lately.
 func (n *Node) Wanted(now time.Time, offers []Mark) []string {
-	lacks := n.Store.Lacks(offers)
+	lacks := n.Store.Outdated(offers)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []string
--- a/peer/store.go
+++ b/peer/store.go
@@ -200,8 +200,8 @@
 	return out
 }
 
-// Lacks returns the keys of the marks that are newer than what is held.
-func (s *Store) Lacks(marks []Mark) []string {
+// Outdated returns the keys of the marks that are newer than what is held.
+func (s *Store) Outdated(marks []Mark) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
