--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -77,7 +77,7 @@
 		klog.V(1).InfoS("lease_step_failed", "cause", err.Error())
 	}
 	holds := m.lease.Holds(time.Now())
-	m.node.WantHealth(holds)
+	m.node.SetWantHealth(holds)
 	m.status.Store(&LeaseStatus{Holder: m.lease.Holder(), Fencing: m.lease.Fencing(), Holding: holds, until: m.lease.HeldUntil()})
 	if holds != m.holding {
 		m.holding = holds
--- a/peer/node.go
+++ b/peer/node.go
@@ -166,9 +166,9 @@
 	return out
 }
 
-// WantHealth says whether a controller needs the health of groups: the holder
+// SetWantHealth says whether a controller needs the health of groups: the holder
 // of the zone's lease does, those that watch do not.
-func (n *Node) WantHealth(want bool) { n.wantsHealth.Store(want) }
+func (n *Node) SetWantHealth(want bool) { n.wantsHealth.Store(want) }
 
 // AskHealth asks one router for the health of groups, for a controller that
 // only watches and is asked for the state.
