--- a/daemon/controller.go
+++ b/daemon/controller.go
@@ -127,7 +127,7 @@
 	if !held.Holding {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		c.Node.AskHealth(ctx, now)
+		c.Node.FetchHealth(ctx, now)
 	}
 	accepted, _ := c.Manifest()
 	out := operator.Status{
--- a/peer/node.go
+++ b/peer/node.go
@@ -170,9 +170,9 @@
 // of the zone's lease does, those that watch do not.
 func (n *Node) SetWantHealth(want bool) { n.wantsHealth.Store(want) }
 
-// AskHealth asks one router for the health of groups, for a controller that
+// FetchHealth asks one router for the health of groups, for a controller that
 // only watches and is asked for the state.
-func (n *Node) AskHealth(ctx context.Context, now time.Time) {
+func (n *Node) FetchHealth(ctx context.Context, now time.Time) {
 	n.exchangeOne(ctx, now, n.routers(), true)
 }
 
