--- a/daemon/router.go
+++ b/daemon/router.go
@@ -138,7 +138,7 @@
 	if len(groups) == 0 {
 		return
 	}
-	granted, err := r.Node.AskGrant(ctx, groups)
+	granted, err := r.Node.RequestGrants(ctx, groups)
 	if err != nil {
 		klog.V(1).InfoS("no_grant", "cause", err.Error())
 		return
--- a/peer/grant.go
+++ b/peer/grant.go
@@ -31,10 +31,10 @@
 	return &rpc.GrantResponse{Holder: true, Groups: (*granter)(time.Now(), in.From, in.Groups)}, nil
 }
 
-// AskGrant asks the zone's holder which of the groups this router may feed. It
+// RequestGrants asks the zone's holder which of the groups this router may feed. It
 // asks the controller that answered last, and the others when that one does
 // not hold the lease any more.
-func (n *Node) AskGrant(ctx context.Context, groups []string) ([]string, error) {
+func (n *Node) RequestGrants(ctx context.Context, groups []string) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var last error
