--- a/peer/push.go
+++ b/peer/push.go
@@ -94,9 +94,9 @@
 // askAgainAfter is how long a register that was asked for may take.
 const askAgainAfter = 500 * time.Millisecond
 
-// Wanted returns which offers to take: those that are newer than what is held
+// AcceptOffers returns which offers to take: those that are newer than what is held
 // and that no other peer was asked for lately.
-func (n *Node) Wanted(now time.Time, offers []Mark) []string {
+func (n *Node) AcceptOffers(now time.Time, offers []Mark) []string {
 	lacks := n.Store.Outdated(offers)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/peer/server.go
+++ b/peer/server.go
@@ -37,7 +37,7 @@
 
 	out := &rpc.ExchangeResponse{Digest: n.Store.Digest(scope)}
 	if len(in.Offers) > 0 {
-		out.Wanted = n.Wanted(now, fromMarks(in.Offers))
+		out.Wanted = n.AcceptOffers(now, fromMarks(in.Offers))
 	}
 	if in.WantHealth && in.AvailabilityZone == n.Self.AvailabilityZone {
 		out.Health = toHealth(time.Now(), n.Health.Newer(now, n.HealthBound, theirs))
--- a/peer/server_test.go
+++ b/peer/server_test.go
@@ -103,12 +103,12 @@
 	n := node("a")
 	now := time.Date(2026, 1, 14, 5, 0, 0, 0, time.UTC)
 	offer := []peer.Mark{{Key: peer.KeyManifest, Number: 7}}
-	require.Equal(t, []string{peer.KeyManifest}, n.Wanted(now, offer))
-	require.Empty(t, n.Wanted(now.Add(time.Millisecond), offer), "it is on its way")
-	require.Equal(t, []string{peer.KeyManifest}, n.Wanted(now.Add(time.Second), offer), "it did not come")
+	require.Equal(t, []string{peer.KeyManifest}, n.AcceptOffers(now, offer))
+	require.Empty(t, n.AcceptOffers(now.Add(time.Millisecond), offer), "it is on its way")
+	require.Equal(t, []string{peer.KeyManifest}, n.AcceptOffers(now.Add(time.Second), offer), "it did not come")
 	n.Store.Apply(peer.Entry{Key: peer.KeyManifest, Number: 7})
-	require.Empty(t, n.Wanted(now.Add(time.Minute), offer), "it is held")
-	require.Empty(t, n.Wanted(now.Add(time.Minute), []peer.Mark{{Key: peer.KeyManifest, Number: 6}}), "it is older")
+	require.Empty(t, n.AcceptOffers(now.Add(time.Minute), offer), "it is held")
+	require.Empty(t, n.AcceptOffers(now.Add(time.Minute), []peer.Mark{{Key: peer.KeyManifest, Number: 6}}), "it is older")
 }
 
 func TestLargeRegisterReachesEveryRouter(t *testing.T) {
