--- a/endpoint/holder.go
+++ b/endpoint/holder.go
@@ -29,7 +29,7 @@
 // granter answers routers that ask for cold groups while this controller
 // holds the lease. It looks at the lease's end at each question, because a
 // frozen controller thaws with a successor beside it.
-func (m *Manager) granter(now time.Time, holds bool) peer.Granter {
+func (m *Manager) granter(now time.Time, holds bool) peer.GrantFunc {
 	if !holds {
 		return nil
 	}
--- a/peer/node.go
+++ b/peer/node.go
@@ -64,7 +64,7 @@
 	members memberCache
 	// wantsHealth says that a controller needs the health of groups.
 	wantsHealth atomic.Bool
-	granter     atomic.Pointer[Granter]
+	granter     atomic.Pointer[GrantFunc]
 	holder      atomic.Pointer[string] // the controller that granted last
 
 	mu        sync.Mutex
