--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -88,7 +88,7 @@
 		m.counter = 0
 		// The last order of the previous holder may still be on its way.
 		m.quietUntil = now.Add(m.config.OrderTimeout)
-		m.node.SetGranter(m.granter(now, holds))
+		m.node.SetGrantFunc(m.granter(now, holds))
 		klog.InfoS("lease_changed", "holding", holds, "fencing", m.lease.Fencing())
 	}
 	if !holds || now.Before(m.quietUntil) {
--- a/peer/grant.go
+++ b/peer/grant.go
@@ -12,9 +12,9 @@
 // GrantFunc answers which of the groups a router may feed while they are cold.
 type GrantFunc func(now time.Time, router string, groups []string) []string
 
-// SetGranter makes this controller answer grants; nil while it does not hold
+// SetGrantFunc makes this controller answer grants; nil while it does not hold
 // the zone's lease.
-func (n *Node) SetGranter(g GrantFunc) {
+func (n *Node) SetGrantFunc(g GrantFunc) {
 	if g == nil {
 		n.granter.Store(nil)
 		return
