--- a/peer/client.go
+++ b/peer/client.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Traffic counts the bytes of the exchanges that this process starts, both
-// directions, as they pass the socket.
+// Traffic counts the bytes sent and received on the connections of the
+// exchanges that this process starts.
 type Traffic struct {
 	Sent     atomic.Uint64
 	Received atomic.Uint64
@@ -55,7 +55,7 @@
 	return &http.Client{Transport: tokenTransport{next: transport, token: token}}
 }
 
-// tokenTransport adds the peers' token to each request.
+// tokenTransport adds the peer token to each request.
 type tokenTransport struct {
 	next  *http.Transport
 	token string
@@ -64,9 +64,9 @@
 func (t tokenTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+t.token)
-	r.Header.Set("User-Agent", "") // nobody reads it, and exchanges are many
+	r.Header.Set("User-Agent", "") // omitted to save bytes: no peer reads it
 	return t.next.RoundTrip(r)
 }
 
-// CloseIdleConnections lets http.Client reach the transport below.
+// CloseIdleConnections is called by http.Client.CloseIdleConnections.
 func (t tokenTransport) CloseIdleConnections() { t.next.CloseIdleConnections() }
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -41,22 +41,24 @@
 	return out
 }
 
-// neverSeen is the age of a group whose members were not all seen.
-const neverSeen = 1 << 30
+// maxAge is the largest age in milliseconds. It is also sent for a group whose
+// members have not all been seen.
+const maxAge = 1 << 30
 
-// ageOf returns how long ago t was, for a clock that need not agree.
+// ageOf returns the age of t in milliseconds. Ages are sent in place of times
+// because the clocks of two VMs may differ.
 func ageOf(now, t time.Time) uint32 {
-	return uint32(min(max(now.Sub(t).Milliseconds(), 0), neverSeen))
+	return uint32(min(max(now.Sub(t).Milliseconds(), 0), maxAge))
 }
 
-// groupHash names a group on the wire in 4 bytes.
+// groupHash returns the 4-byte hash that identifies a group on the wire.
 func groupHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 func toHealth(now time.Time, health []redwinghall.GroupHealth) []*rpc.Health {
 	out := make([]*rpc.Health, 0, len(health))
 	for _, h := range health {
 		encoded := &rpc.Health{
-			Group: groupHash(h.Group), Generation: h.Generation, AgeMs: neverSeen, Broken: h.Broken,
+			Group: groupHash(h.Group), Generation: h.Generation, AgeMs: maxAge, Broken: h.Broken,
 			Ready: h.Ready, Running: uint32(h.Running), Completed: h.Completed,
 		}
 		if !h.SeenAt.IsZero() {
@@ -70,14 +72,14 @@
 	return out
 }
 
-// fromHealth turns ages back into times of this process's clock: the clocks
-// of two VMs need not agree.
+// fromHealth converts ages back to times by this process's clock, because the
+// clocks of two VMs may differ.
 func fromHealth(now time.Time, group string, h *rpc.Health) redwinghall.GroupHealth {
 	out := redwinghall.GroupHealth{
 		Group: group, Generation: h.Generation, Broken: h.Broken,
 		Ready: h.Ready, Running: int(h.Running), Completed: h.Completed,
 	}
-	if h.AgeMs < neverSeen {
+	if h.AgeMs < maxAge {
 		out.SeenAt = now.Add(-time.Duration(h.AgeMs) * time.Millisecond)
 	}
 	if h.LostAgeMs > 0 {
--- a/peer/error.go
+++ b/peer/error.go
@@ -2,10 +2,10 @@
 
 import "redwinghall"
 
-// Kind says what a peer error means.
+// Kind classifies a peer error.
 type Kind string
 
-// The kinds of peer error.
+// Kinds of peer errors.
 const (
 	Unreachable Kind = "peer_unreachable"
 )
--- a/peer/grant.go
+++ b/peer/grant.go
@@ -9,54 +9,55 @@
 	"redwinghall/peer/rpc"
 )
 
-// GrantFunc answers which of the groups a router may feed while they are cold.
+// GrantFunc returns which of the groups a router may send to while they are
+// cold.
 type GrantFunc func(now time.Time, router string, groups []string) []string
 
-// SetGrantFunc makes this controller answer grants; nil while it does not hold
-// the zone's lease.
+// SetGrantFunc sets the function that answers requests for grants. It is nil
+// while this controller does not hold the zone's lease.
 func (n *Node) SetGrantFunc(g GrantFunc) {
 	if g == nil {
-		n.granter.Store(nil)
+		n.grantFunc.Store(nil)
 		return
 	}
-	n.granter.Store(&g)
+	n.grantFunc.Store(&g)
 }
 
-// Grant implements the peers' protocol.
+// Grant implements rpc.Peer.
 func (s *server) Grant(_ context.Context, in *rpc.GrantRequest) (*rpc.GrantResponse, error) {
-	granter := s.node.granter.Load()
-	if granter == nil {
+	grant := s.node.grantFunc.Load()
+	if grant == nil {
 		return &rpc.GrantResponse{}, nil
 	}
-	return &rpc.GrantResponse{Holder: true, Groups: (*granter)(time.Now(), in.From, in.Groups)}, nil
+	return &rpc.GrantResponse{Holder: true, Groups: (*grant)(time.Now(), in.From, in.Groups)}, nil
 }
 
-// RequestGrants asks the zone's holder which of the groups this router may feed. It
-// asks the controller that answered last, and the others when that one does
-// not hold the lease any more.
+// RequestGrants asks the holder of the zone's lease which of the cold groups
+// this router may send to. It tries the controller that granted last first, and
+// the others if that one no longer holds the lease.
 func (n *Node) RequestGrants(ctx context.Context, groups []string) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var last error
 	for _, m := range n.controllers() {
 		client := rpc.NewPeerProtobufClient("http://"+m.Address, n.client)
-		answer, err := client.Grant(ctx, &rpc.GrantRequest{From: n.Self.ID, Groups: groups})
+		response, err := client.Grant(ctx, &rpc.GrantRequest{From: n.Self.ID, Groups: groups})
 		if err != nil {
 			last = err
 			continue
 		}
-		if answer.Holder {
-			n.holder.Store(&m.ID)
-			return answer.Groups, nil
+		if response.Holder {
+			n.leaseHolder.Store(&m.ID)
+			return response.Groups, nil
 		}
 	}
-	return nil, redwinghall.NewOpError("Node.AskGrant", Unreachable, last)
+	return nil, redwinghall.NewOpError("Node.RequestGrants", Unreachable, last)
 }
 
-// controllers returns the zone's controllers, the last known holder first.
+// controllers returns the zone's controllers, the last known lease holder first.
 func (n *Node) controllers() []Member {
-	out := slices.DeleteFunc(n.others(n.Self.AvailabilityZone), func(m Member) bool { return m.Program != Controller })
-	holder := n.holder.Load()
+	out := slices.DeleteFunc(n.zonePeers(n.Self.AvailabilityZone), func(m Member) bool { return m.Program != Controller })
+	holder := n.leaseHolder.Load()
 	if holder == nil {
 		return out
 	}
--- a/peer/names.go
+++ b/peer/group_ids.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// groupNames maps the hashes that stand for groups on the wire to their ids,
-// from the registers held.
-type groupNames struct {
+// groupIDs maps the hashes that identify groups on the wire to group IDs. The
+// map is rebuilt from the registers when the store has changed.
+type groupIDs struct {
 	mu      sync.Mutex
 	version uint64
 	ids     map[uint32]string
 }
 
-// id returns the id of the group that a hash stands for in a zone.
-func (g *groupNames) id(store *Store, zone string, hash uint32) (string, bool) {
+// id returns the ID of the group of a zone with the given hash.
+func (g *groupIDs) id(store *Store, zone string, hash uint32) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if version := store.Version(); g.ids == nil || version != g.version {
--- a/peer/health_cache.go
+++ b/peer/health_cache.go
@@ -7,32 +7,32 @@
 	"redwinghall"
 )
 
-// HealthCache holds the newest health of each group of the zone, from this
-// process's own polls and from its peers.
+// HealthCache holds the newest health of each group of the zone, as observed by
+// this process or reported by its peers.
 type HealthCache struct {
 	mu     sync.Mutex
 	groups map[string]redwinghall.GroupHealth
 }
 
-// NewHealthCache returns an empty book.
+// NewHealthCache returns an empty cache.
 func NewHealthCache() *HealthCache {
 	return &HealthCache{groups: map[string]redwinghall.GroupHealth{}}
 }
 
-// Merge takes in an observation of a group. It reports whether this takes the
-// group out of service, which peers must hear at once.
+// Merge merges an observation of a group. It reports whether the observation
+// takes the group out of service, which must be pushed to the peers immediately.
 //
-// Guard: an observation that is on its way while a member restarts arrives
-// after the one that says broken, and would make the group whole again; a caller
-// would then be sent to a replica that misses a VM. Broken is therefore final for its
-// generation, and only a higher generation, a new order, replaces it. A
-// refused connection counts until all members were asked again later.
-func (b *HealthCache) Merge(h redwinghall.GroupHealth) (newlyOut bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	held, ok := b.groups[h.Group]
+// Broken is final for its generation; only a higher generation, that is a new
+// order, clears it. Otherwise an older observation that arrives after a member
+// has restarted would mark the group healthy again, and requests would go to a
+// replica that lacks a VM. A refused connection counts until all members have
+// been seen again later.
+func (c *HealthCache) Merge(h redwinghall.GroupHealth) (newlyFailed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	held, ok := c.groups[h.Group]
 	if !ok || h.Generation > held.Generation {
-		b.groups[h.Group] = h
+		c.groups[h.Group] = h
 		return h.Broken
 	}
 	if h.Generation < held.Generation {
@@ -44,12 +44,13 @@
 	}
 	next.Broken = held.Broken || h.Broken
 	next.LostAt = later(held.LostAt, h.LostAt)
-	b.groups[h.Group] = next
-	return (next.Broken && !held.Broken) || (lost(next) && !lost(held))
+	c.groups[h.Group] = next
+	return (next.Broken && !held.Broken) || (refusedSinceSeen(next) && !refusedSinceSeen(held))
 }
 
-// lost reports whether a member refused a connection since all were seen.
-func lost(h redwinghall.GroupHealth) bool {
+// refusedSinceSeen reports whether a member has refused a connection since all
+// members were last seen.
+func refusedSinceSeen(h redwinghall.GroupHealth) bool {
 	return !h.LostAt.IsZero() && !h.SeenAt.After(h.LostAt)
 }
 
@@ -61,20 +62,20 @@
 }
 
 // Get returns the newest health of a group.
-func (b *HealthCache) Get(group string) (redwinghall.GroupHealth, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	h, ok := b.groups[group]
+func (c *HealthCache) Get(group string) (redwinghall.GroupHealth, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	h, ok := c.groups[group]
 	return h, ok
 }
 
-// Recent returns the observations that are not older than bound, and the broken
-// ones.
-func (b *HealthCache) Recent(now time.Time, bound time.Duration) []redwinghall.GroupHealth {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Recent returns the observations that are not older than bound, and those of
+// broken groups.
+func (c *HealthCache) Recent(now time.Time, bound time.Duration) []redwinghall.GroupHealth {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var out []redwinghall.GroupHealth
-	for _, h := range b.groups {
+	for _, h := range c.groups {
 		if h.Broken || now.Sub(h.SeenAt) <= bound || now.Sub(h.LostAt) <= bound {
 			out = append(out, h)
 		}
@@ -82,36 +83,37 @@
 	return out
 }
 
-// minAdvance is how much newer an observation must be to be worth sending.
+// minAdvance is how much newer an observation must be to be sent.
 const minAdvance = 100 * time.Millisecond
 
-// Newer returns the observations that are worth sending to a peer that has
-// theirs, which is keyed by group.
-func (b *HealthCache) Newer(now time.Time, bound time.Duration, theirs map[string]redwinghall.GroupHealth) []redwinghall.GroupHealth {
+// Newer returns the observations to send to a peer that holds theirs, which is
+// keyed by group ID.
+func (c *HealthCache) Newer(now time.Time, bound time.Duration, theirs map[string]redwinghall.GroupHealth) []redwinghall.GroupHealth {
 	var out []redwinghall.GroupHealth
-	for _, h := range b.Recent(now, bound) {
+	for _, h := range c.Recent(now, bound) {
 		t, ok := theirs[h.Group]
-		if !ok || tellsMore(h, t) {
+		if !ok || worthSending(h, t) {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-func tellsMore(h, t redwinghall.GroupHealth) bool {
+// worthSending reports whether h tells a peer that holds t something new.
+func worthSending(h, t redwinghall.GroupHealth) bool {
 	if h.Generation != t.Generation {
 		return h.Generation > t.Generation
 	}
 	return (h.Broken && !t.Broken) || h.SeenAt.Sub(t.SeenAt) > minAdvance || h.LostAt.Sub(t.LostAt) > minAdvance
 }
 
-// Retain drops groups that no longer exist.
-func (b *HealthCache) Retain(keep func(group string) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id := range b.groups {
+// Retain deletes the groups for which keep returns false.
+func (c *HealthCache) Retain(keep func(group string) bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id := range c.groups {
 		if !keep(id) {
-			delete(b.groups, id)
+			delete(c.groups, id)
 		}
 	}
 }
--- a/peer/members.go
+++ b/peer/members.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// memberCache holds the members of each zone as the registers last gave them.
+// memberCache caches the members of each zone, read from the registers.
 type memberCache struct {
 	mu      sync.Mutex
 	version uint64
 	zones   map[string][]Member
 }
 
-// zone returns a zone's members that are not leaving, in the order of their ids.
+// zone returns the members of a zone that are not leaving, ordered by ID.
 func (c *memberCache) zone(store *Store, seeds []Member, zone string) []Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -29,8 +29,8 @@
 	return members
 }
 
-// readMembers returns the seeds of a zone, replaced and joined by those that
-// made themselves known.
+// readMembers returns the members of a zone: its seeds and those that announced
+// themselves. An announcement replaces the seed with the same ID.
 func readMembers(store *Store, seeds []Member, zone string) []Member {
 	byID := map[string]Member{}
 	for _, m := range seeds {
--- a/peer/node.go
+++ b/peer/node.go
@@ -14,10 +14,10 @@
 	"redwinghall/kernel"
 )
 
-// Program is the kind of a process.
+// Program is the type of a process.
 type Program string
 
-// The programs that take part in the exchange.
+// Programs that take part in the exchange.
 const (
 	Router     Program = "router"
 	Controller Program = "controller"
@@ -27,57 +27,60 @@
 type Member struct {
 	ID               string  `json:"id"`
 	AvailabilityZone string  `json:"availability_zone"`
-	Address          string  `json:"address"` // of its peer listener
+	Address          string  `json:"address"` // address of the peer listener
 	Program          Program `json:"program"`
-	// CallerAddress is where a router takes callers' requests.
+	// CallerAddress is the address at which a router accepts requests.
 	CallerAddress string `json:"caller_address,omitempty"`
 	Leaving       bool   `json:"leaving,omitempty"`
 }
 
-// Defaults of the exchange.
+// Parameters of the exchange.
 const (
-	DefaultInterval = time.Second
-	exchangeTimeout = time.Second
-	zoneFanout      = 3 // pushes of a change inside the zone
-	crossFanout     = 2 // pushes of a global change to other zones
-	crossPerTick    = 1 // exchanges between zones that a whole zone starts in one interval
-	downAfter       = 2 // failed exchanges until a peer is not counted
-	watchTicks      = 5 // ticks between exchanges of a controller that only watches
+	DefaultInterval  = time.Second
+	exchangeTimeout  = time.Second
+	zoneFanout       = 3 // pushes of a change within the zone
+	crossZoneFanout  = 2 // pushes of a global change to other zones
+	crossZonePerTick = 1 // exchanges with other zones that all processes of a zone start per interval
+	maxFailures      = 2 // consecutive failed exchanges after which a peer counts as down
+	standbyTicks     = 5 // ticks between exchanges of a standby controller
 )
 
-// Node is one process's part in the exchange.
+// Node is a process that takes part in the exchange.
 type Node struct {
 	Self   Member
 	Store  *Store
 	Health *HealthCache
-	// Interval between periodic exchanges.
+	// Interval is the time between periodic exchanges.
 	Interval time.Duration
-	// HealthBound is the age at which an observation of a group is no longer passed on.
+	// HealthBound is the age above which an observation of a group is no longer
+	// sent to peers.
 	HealthBound time.Duration
 	Traffic     *Traffic
 
-	token  string
-	client *http.Client
-	seeds  []Member
-	names  groupNames
-	// members are looked up many times a second and change rarely.
+	token    string
+	client   *http.Client
+	seeds    []Member
+	groupIDs groupIDs
+	// members is a cache because members are looked up many times a second and
+	// change rarely.
 	members memberCache
-	// wantsHealth says that a controller needs the health of groups.
+	// wantsHealth is set on a controller that needs the health of groups.
 	wantsHealth atomic.Bool
-	granter     atomic.Pointer[GrantFunc]
-	holder      atomic.Pointer[string] // the controller that granted last
+	grantFunc   atomic.Pointer[GrantFunc]
+	leaseHolder atomic.Pointer[string] // ID of the controller that granted last
 
-	mu        sync.Mutex
-	failures  map[string]int
-	asked     map[Mark]time.Time // large registers that a peer was asked for
-	lastRound time.Time          // when a round last came by here
-	ticks     int
-	urgent    []redwinghall.GroupHealth
-	pending   []Entry
-	wake      chan struct{}
+	mu             sync.Mutex
+	failures       map[string]int
+	requestedAt    map[Mark]time.Time // when a large register was last requested from a peer
+	lastRound      time.Time          // when a round last reached this router
+	ticks          int
+	pendingHealth  []redwinghall.GroupHealth
+	pendingEntries []Entry
+	wake           chan struct{}
 }
 
-// NewNode returns a node that knows its seeds. token guards the exchange.
+// NewNode returns a node that initially knows the seeds. token authenticates
+// exchanges.
 func NewNode(self Member, seeds []Member, token string) *Node {
 	traffic := &Traffic{}
 	return &Node{
@@ -85,22 +88,23 @@
 		Interval: DefaultInterval, HealthBound: 3 * time.Second,
 		Traffic: traffic,
 		token:   token, client: newClient(traffic, token), seeds: seeds,
-		failures: map[string]int{},
-		asked:    map[Mark]time.Time{},
-		wake:     make(chan struct{}, 1),
+		failures:    map[string]int{},
+		requestedAt: map[Mark]time.Time{},
+		wake:        make(chan struct{}, 1),
 	}
 }
 
-// Run takes part until the group stops. The member's own register is numbered
-// by its start time, so that a restart under the same id is newer.
+// Run takes part in the exchange until the task group stops. The number of the
+// member's own register is the start time, so that a restart under the same ID
+// is newer.
 func (n *Node) Run(g *kernel.Group, started time.Time) {
 	n.announce(started, n.Self)
-	n.noteRound(started)
+	n.recordRound(started)
 	g.Every("peer.exchange", n.Interval, func(ctx context.Context, now time.Time) { n.tick(ctx, now) })
 	g.Go("peer.push", n.pushLoop)
 }
 
-// Leave tells the peers that this process stops.
+// Leave announces to the peers that this process is stopping.
 func (n *Node) Leave(now time.Time) {
 	self := n.Self
 	self.Leaving = true
@@ -115,37 +119,37 @@
 	n.Publish(Entry{Key: KeyMember(self.AvailabilityZone, self.ID), Number: uint64(now.UnixNano()), Value: value})
 }
 
-// Observe takes in this process's own observation of a group, and pushes it when
-// it says that the group is broken.
+// Observe merges an observation that this process made of a group, and pushes it
+// to the peers if it takes the group out of service.
 func (n *Node) Observe(h redwinghall.GroupHealth) {
 	if n.Health.Merge(h) {
 		n.pushHealth(h)
 	}
 }
 
-// Members returns the processes of a zone that are known and not leaving,
-// this one included, also those that do not answer now. The list is shared:
-// callers must not change it.
+// Members returns the known processes of a zone that are not leaving, including
+// this one and those that do not answer at present. The slice is shared: callers
+// must not modify it.
 func (n *Node) Members(zone string) []Member {
 	return n.members.zone(n.Store, n.seeds, zone)
 }
 
-// Live returns the members of this zone that answered lately, this one
-// included, of one program.
+// Live returns the members of this zone that run the program and do not count as
+// down, including this one.
 func (n *Node) Live(program Program) []Member {
 	members := n.Members(n.Self.AvailabilityZone)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := make([]Member, 0, len(members))
 	for _, m := range members {
-		if m.Program == program && (m.ID == n.Self.ID || n.failures[m.ID] < downAfter) {
+		if m.Program == program && (m.ID == n.Self.ID || n.failures[m.ID] < maxFailures) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-func (n *Node) others(zone string) []Member {
+func (n *Node) zonePeers(zone string) []Member {
 	members := n.Members(zone)
 	out := make([]Member, 0, len(members))
 	for _, m := range members {
@@ -156,7 +160,7 @@
 	return out
 }
 
-func (n *Node) foreign() []Member {
+func (n *Node) otherZoneSeeds() []Member {
 	var out []Member
 	for _, m := range n.seeds {
 		if m.AvailabilityZone != n.Self.AvailabilityZone {
@@ -166,18 +170,18 @@
 	return out
 }
 
-// SetWantHealth says whether a controller needs the health of groups: the holder
-// of the zone's lease does, those that watch do not.
+// SetWantHealth sets whether a controller needs the health of groups: the holder
+// of the zone's lease does, standby controllers do not.
 func (n *Node) SetWantHealth(want bool) { n.wantsHealth.Store(want) }
 
-// FetchHealth asks one router for the health of groups, for a controller that
-// only watches and is asked for the state.
+// FetchHealth fetches the health of groups from one router. A standby controller
+// calls it when its state is queried.
 func (n *Node) FetchHealth(ctx context.Context, now time.Time) {
 	n.exchangeOne(ctx, now, n.routers(), true)
 }
 
-// tick starts this process's periodic exchanges. Among routers the health of
-// groups travels in rounds, see round.go; a controller asks one router.
+// tick starts the periodic exchanges of this process. Routers exchange the
+// health of groups in rounds, see round.go; a controller asks one router.
 func (n *Node) tick(ctx context.Context, now time.Time) {
 	n.mu.Lock()
 	n.ticks++
@@ -188,31 +192,31 @@
 		n.tickRouter(ctx, now)
 	case n.wantsHealth.Load():
 		n.exchangeOne(ctx, now, n.routers(), true)
-	case ticks%watchTicks == 0:
+	case ticks%standbyTicks == 0:
 		n.exchangeOne(ctx, now, n.routers(), false)
 	}
-	n.tickForeign(ctx, now)
+	n.tickOtherZones(ctx, now)
 }
 
-// tickForeign exchanges with another zone now and then, so that a zone as a
-// whole starts crossPerTick of those in each interval however many processes
-// it has.
-func (n *Node) tickForeign(ctx context.Context, now time.Time) {
+// tickOtherZones exchanges with another zone at random, so that the processes of
+// a zone together start crossZonePerTick such exchanges per interval on average,
+// however many they are.
+func (n *Node) tickOtherZones(ctx context.Context, now time.Time) {
 	zone := len(n.Members(n.Self.AvailabilityZone))
-	if rand.IntN(max(1, zone)) < crossPerTick {
-		n.exchangeOne(ctx, now, n.foreign(), false)
+	if rand.IntN(max(1, zone)) < crossZonePerTick {
+		n.exchangeOne(ctx, now, n.otherZoneSeeds(), false)
 	}
 }
 
-// exchangeOne exchanges with a random one of the members.
+// exchangeOne exchanges with one of the members, chosen at random.
 func (n *Node) exchangeOne(ctx context.Context, now time.Time, members []Member, health bool) {
-	for _, m := range choose(members, 1) {
-		_ = n.exchange(ctx, m, n.periodicExchange(now, health)) // the next tick tries another
+	for _, m := range sample(members, 1) {
+		_ = n.exchange(ctx, m, n.periodicExchange(now, health)) // a failure is recorded; the next tick tries again
 	}
 }
 
-// routers returns the zone's routers, this process left out.
+// routers returns the routers of the zone except this process.
 func (n *Node) routers() []Member {
-	members := n.others(n.Self.AvailabilityZone)
+	members := n.zonePeers(n.Self.AvailabilityZone)
 	return slices.DeleteFunc(members, func(m Member) bool { return m.Program != Router })
 }
--- a/peer/push.go
+++ b/peer/push.go
@@ -10,7 +10,7 @@
 	"redwinghall/kernel"
 )
 
-// Publish takes entries and pushes those that are news.
+// Publish applies entries and pushes those that are new.
 func (n *Node) Publish(entries ...Entry) { n.push(n.Store.Apply(entries...)) }
 
 func (n *Node) push(entries []Entry) {
@@ -18,14 +18,14 @@
 		return
 	}
 	n.mu.Lock()
-	n.pending = append(n.pending, entries...)
+	n.pendingEntries = append(n.pendingEntries, entries...)
 	n.mu.Unlock()
 	n.signal()
 }
 
 func (n *Node) pushHealth(h redwinghall.GroupHealth) {
 	n.mu.Lock()
-	n.urgent = append(n.urgent, h)
+	n.pendingHealth = append(n.pendingHealth, h)
 	n.mu.Unlock()
 	n.signal()
 }
@@ -50,21 +50,21 @@
 
 func (n *Node) flush(ctx context.Context) {
 	n.mu.Lock()
-	entries, health := n.pending, n.urgent
-	n.pending, n.urgent = nil, nil
+	entries, health := n.pendingEntries, n.pendingHealth
+	n.pendingEntries, n.pendingHealth = nil, nil
 	n.mu.Unlock()
 
 	pushes := kernel.NewGroup(ctx)
-	for _, m := range choose(n.others(n.Self.AvailabilityZone), zoneFanout) {
+	for _, m := range sample(n.zonePeers(n.Self.AvailabilityZone), zoneFanout) {
 		pushes.Go("peer.push_one", func(ctx context.Context) error {
-			_ = n.exchange(ctx, m, pushOf(entries, health)) // the periodic exchange repairs a lost push
+			_ = n.exchange(ctx, m, newPush(entries, health)) // a lost push is repaired by the periodic exchange
 			return nil
 		})
 	}
 	if global := globalOnly(entries); len(global) > 0 {
-		for _, m := range choose(n.foreign(), crossFanout) {
+		for _, m := range sample(n.otherZoneSeeds(), crossZoneFanout) {
 			pushes.Go("peer.push_one", func(ctx context.Context) error {
-				_ = n.exchange(ctx, m, pushOf(global, nil))
+				_ = n.exchange(ctx, m, newPush(global, nil))
 				return nil
 			})
 		}
@@ -72,15 +72,16 @@
 	_ = pushes.Wait()
 }
 
-// largeValue is the size from which a register is offered before it is sent.
+// largeValue is the size in bytes from which a register is offered before it is
+// sent.
 const largeValue = 256
 
-// pushOf returns what a push hands over. Small registers go at once. A large one, as
-// the manifest, reaches a process from several others: it is only offered,
-// and sent to those that say that they lack it, so that its bytes travel once
-// to each process and not once for each push.
-func pushOf(entries []Entry, health []redwinghall.GroupHealth) outgoing {
-	out := outgoing{health: health}
+// newPush returns what a push sends. Small registers are sent immediately. A
+// large one, such as the manifest, would reach a process from several peers, so
+// it is only offered, and sent to the peers that request it. Its bytes are then
+// transferred once to each process and not once for each push.
+func newPush(entries []Entry, health []redwinghall.GroupHealth) outgoingState {
+	out := outgoingState{health: health}
 	for _, e := range entries {
 		if len(e.Value) < largeValue {
 			out.entries = append(out.entries, e)
@@ -91,26 +92,27 @@
 	return out
 }
 
-// askAgainAfter is how long a register that was asked for may take.
-const askAgainAfter = 500 * time.Millisecond
+// offerRetryInterval is how long to wait for a requested register before it may
+// be requested from another peer.
+const offerRetryInterval = 500 * time.Millisecond
 
-// AcceptOffers returns which offers to take: those that are newer than what is held
-// and that no other peer was asked for lately.
+// AcceptOffers returns the keys of the offers to request: those that are newer
+// than what is held and have not been requested within offerRetryInterval.
 func (n *Node) AcceptOffers(now time.Time, offers []Mark) []string {
-	lacks := n.Store.Outdated(offers)
+	outdated := n.Store.Outdated(offers)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []string
 	for _, m := range offers {
-		if !slices.Contains(lacks, m.Key) || now.Sub(n.asked[m]) < askAgainAfter {
+		if !slices.Contains(outdated, m.Key) || now.Sub(n.requestedAt[m]) < offerRetryInterval {
 			continue
 		}
-		n.asked[m] = now
+		n.requestedAt[m] = now
 		out = append(out, m.Key)
 	}
-	for m, at := range n.asked {
-		if now.Sub(at) >= askAgainAfter {
-			delete(n.asked, m)
+	for m, at := range n.requestedAt {
+		if now.Sub(at) >= offerRetryInterval {
+			delete(n.requestedAt, m)
 		}
 	}
 	return out
@@ -119,14 +121,14 @@
 func globalOnly(entries []Entry) []Entry {
 	var out []Entry
 	for _, e := range entries {
-		if (Scope{}).has(e.Key) {
+		if (Scope{}).contains(e.Key) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-func choose(members []Member, count int) []Member {
+func sample(members []Member, count int) []Member {
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	return members[:min(count, len(members))]
 }
--- a/peer/round.go
+++ b/peer/round.go
@@ -8,69 +8,68 @@
 	"redwinghall/kernel"
 )
 
-// The health of a zone's groups travels among its routers in rounds. The
-// routers, in the order of their ids, form a tree; in each interval the first
-// one hands all it knows to its children, which hand it on to theirs, and the
-// answers bring back up what each subtree knows better. So an observation
-// reaches the first router within the round in which it is made, and every
-// router with the next, over one exchange for each router and interval. Random
-// exchanges of the same cost need about log2(routers) intervals, which can be
-// longer than alive_bound.
+// Routers of a zone exchange the health of groups in rounds. Ordered by ID, the
+// routers form a tree. In each interval the root sends all its observations to
+// its children, which forward them to theirs, and the responses carry newer
+// observations of each subtree back up. An observation thus reaches the root in
+// the round in which it is made and every router in the next one, at a cost of
+// one exchange per router and interval. Random exchanges of the same cost need
+// about log2(routers) intervals, which can be longer than alive_bound.
 const (
-	roundChildren = 2
-	roundTime     = 800 * time.Millisecond // that the first router waits
-	roundStep     = 150 * time.Millisecond // less for each level below it
-	missedRounds  = 2.5                    // intervals without one until a router asks by itself
+	roundChildren     = 2
+	firstRoundTimeout = 800 * time.Millisecond // how long the root waits for a round
+	roundStep         = 150 * time.Millisecond // reduction of that time for each level below
+	maxMissedRounds   = 2.5                    // intervals without a round after which a router starts exchanges itself
 )
 
-// tickRouter starts a round when this router is the first one. Another router
-// that no round reached for a while asks the first one and a random one
-// itself: the tree may be broken above it, or the others may not know it.
+// tickRouter starts a round if this router is the root. Any other router that no
+// round has reached for a while exchanges with the root and a random router: a
+// router above it in the tree may have failed, or the others may not know it.
 func (n *Node) tickRouter(ctx context.Context, now time.Time) {
-	live := n.ordered()
+	live := n.liveRouters()
 	if len(live) > 0 && live[0].ID == n.Self.ID {
-		n.handOn(ctx, now, roundTime)
-		n.noteRound(now)
+		n.forwardRound(ctx, now, firstRoundTimeout)
+		n.recordRound(now)
 		return
 	}
 	n.mu.Lock()
-	missed := now.Sub(n.lastRound) > time.Duration(missedRounds*float64(n.Interval))
+	missed := now.Sub(n.lastRound) > time.Duration(maxMissedRounds*float64(n.Interval))
 	n.mu.Unlock()
 	if !missed {
 		return
 	}
 	if len(live) > 0 {
-		_ = n.exchange(ctx, live[0], n.periodicExchange(now, true)) // its failure counts towards down
+		_ = n.exchange(ctx, live[0], n.periodicExchange(now, true)) // a failure is recorded by exchange
 	}
 	n.exchangeOne(ctx, now, n.routers(), true)
 }
 
-// ordered returns the live routers in the order of the tree.
-func (n *Node) ordered() []Member {
+// liveRouters returns the live routers in the order of the tree, the root first.
+func (n *Node) liveRouters() []Member {
 	live := n.Live(Router)
 	sort.Slice(live, func(i, j int) bool { return live[i].ID < live[j].ID })
 	return live
 }
 
-// handOn passes a round to this router's children and returns when they have
-// answered or the time is over.
-func (n *Node) handOn(ctx context.Context, now time.Time, left time.Duration) {
+// forwardRound sends a round to this router's children and returns when all have
+// answered or the time is up.
+func (n *Node) forwardRound(ctx context.Context, now time.Time, left time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
-	live := n.ordered()
+	live := n.liveRouters()
 	out := n.periodicExchange(now, true)
-	out.round = max(time.Millisecond, left-roundStep)
+	out.roundTimeout = max(time.Millisecond, left-roundStep)
 	calls := kernel.NewGroup(ctx)
 	for _, child := range childrenOf(live, n.Self.ID) {
 		calls.Go("peer.round", func(ctx context.Context) error {
-			_ = n.exchange(ctx, child, out) // its failure counts towards down
+			_ = n.exchange(ctx, child, out) // a failure is recorded by exchange
 			return nil
 		})
 	}
-	_ = calls.Wait() // the calls return no errors
+	_ = calls.Wait() // the tasks return no errors
 }
 
-// childrenOf returns a router's children in the tree over the live routers.
+// childrenOf returns the children of a router in the tree of live routers.
 func childrenOf(live []Member, id string) []Member {
 	for i, m := range live {
 		if m.ID == id {
@@ -81,7 +80,7 @@
 	return nil
 }
 
-func (n *Node) noteRound(now time.Time) {
+func (n *Node) recordRound(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lastRound = now
--- a/peer/server.go
+++ b/peer/server.go
@@ -10,29 +10,29 @@
 	"redwinghall/peer/rpc"
 )
 
-// server answers exchanges for a node.
+// server implements rpc.Peer for a node.
 type server struct {
 	node *Node
 }
 
-// Handler returns the node's twirp handler behind its token.
+// Handler returns the node's Twirp handler. Requests must carry the peer token.
 func (n *Node) Handler() http.Handler {
 	return requireToken(n.token, rpc.NewPeerServer(&server{node: n}))
 }
 
-// Exchange takes what the peer sends and returns what it lacks. A round is
-// handed on to this router's children first, so that the answer holds what
-// they know too.
+// Exchange applies what the peer sends and returns what the peer lacks. A round is
+// forwarded to this router's children first, so that the response includes their
+// observations.
 func (s *server) Exchange(ctx context.Context, in *rpc.ExchangeRequest) (*rpc.ExchangeResponse, error) {
 	n := s.node
 	now := time.Now()
 	scope := ScopeOf(n.Self.AvailabilityZone, in.AvailabilityZone)
 	n.push(n.Store.Apply(fromEntries(in.Entries)...))
-	theirs := n.takeHealth(now, in.Health)
-	n.noteResult(Member{ID: in.From}, nil)
+	theirs := n.mergeHealth(now, in.Health)
+	n.recordResult(Member{ID: in.From}, nil)
 	if in.RoundMs > 0 {
-		n.noteRound(now)
-		n.handOn(ctx, now, time.Duration(in.RoundMs)*time.Millisecond)
+		n.recordRound(now)
+		n.forwardRound(ctx, now, time.Duration(in.RoundMs)*time.Millisecond)
 	}
 
 	out := &rpc.ExchangeResponse{Digest: n.Store.Digest(scope)}
@@ -49,7 +49,7 @@
 	return out, nil
 }
 
-// BearerToken returns the token of an Authorization header.
+// BearerToken returns the bearer token of the Authorization header, or "".
 func BearerToken(r *http.Request) string {
 	const prefix = "Bearer "
 	header := r.Header.Get("Authorization")
@@ -59,7 +59,8 @@
 	return header[len(prefix):]
 }
 
-// SameToken compares in a time that does not depend on where the tokens differ.
+// SameToken compares two tokens in constant time. An empty wanted token never
+// matches.
 func SameToken(got, want string) bool {
 	a, b := sha256.Sum256([]byte(got)), sha256.Sum256([]byte(want))
 	return want != "" && subtle.ConstantTimeCompare(a[:], b[:]) == 1
--- a/peer/server_test.go
+++ b/peer/server_test.go
@@ -22,7 +22,7 @@
 	return peer.NewNode(peer.Member{ID: id, AvailabilityZone: "tartu", Program: peer.Router, Address: "127.0.0.1:1"}, seeds, token)
 }
 
-func TestPeerNeedsItsToken(t *testing.T) {
+func TestPeerRequiresToken(t *testing.T) {
 	server := httptest.NewServer(node("a").Handler())
 	defer server.Close()
 	response, err := http.Post(server.URL+rpc.PeerPathPrefix+"Exchange", "application/protobuf", nil)
@@ -31,7 +31,7 @@
 	require.Equal(t, http.StatusForbidden, response.StatusCode)
 }
 
-// zone starts routers that know each other and returns them.
+// zone starts routers that are seeds of each other and returns them.
 func zone(t *testing.T, count int) []*peer.Node {
 	t.Helper()
 	handlers := make([]http.Handler, count)
@@ -62,13 +62,12 @@
 	require.Eventually(t, done, time.Minute, 5*time.Millisecond, what)
 }
 
-// Every router hears of a change and of a group's health, and of a group that
-// broke, whichever router noticed it, also while the first router of the
-// round does not answer.
-func TestWordsReachEveryRouter(t *testing.T) {
+// A change, the health of a group and a broken group reach every router, whichever
+// router they come from.
+func TestHealthReachesEveryRouter(t *testing.T) {
 	nodes := zone(t, 9)
 	nodes[4].Publish(peer.Entry{Key: peer.KeyGroup("tartu", "g"), Number: 1, Value: []byte(`{}`)})
-	eventually(t, "the register is everywhere", func() bool {
+	eventually(t, "every router holds the register", func() bool {
 		for _, n := range nodes {
 			if _, ok := n.Store.Get(peer.KeyGroup("tartu", "g")); !ok {
 				return false
@@ -76,17 +75,17 @@
 		}
 		return true
 	})
-	word := redwinghall.GroupHealth{Group: "g", Generation: 1, Ready: true, SeenAt: time.Now()}
-	nodes[8].Observe(word)
-	eventually(t, "the word is everywhere", func() bool { return everywhere(nodes, func(h redwinghall.GroupHealth) bool { return h.Ready }) })
-	word.Broken = true
-	nodes[5].Observe(word)
-	eventually(t, "broken is known everywhere", func() bool {
-		return everywhere(nodes, func(h redwinghall.GroupHealth) bool { return h.Broken })
+	health := redwinghall.GroupHealth{Group: "g", Generation: 1, Ready: true, SeenAt: time.Now()}
+	nodes[8].Observe(health)
+	eventually(t, "every router knows the group as ready", func() bool { return allHave(nodes, func(h redwinghall.GroupHealth) bool { return h.Ready }) })
+	health.Broken = true
+	nodes[5].Observe(health)
+	eventually(t, "every router knows the group as broken", func() bool {
+		return allHave(nodes, func(h redwinghall.GroupHealth) bool { return h.Broken })
 	})
 }
 
-func everywhere(nodes []*peer.Node, holds func(redwinghall.GroupHealth) bool) bool {
+func allHave(nodes []*peer.Node, holds func(redwinghall.GroupHealth) bool) bool {
 	for _, n := range nodes {
 		h, ok := n.Health.Get("g")
 		if !ok || !holds(h) {
@@ -96,25 +95,26 @@
 	return true
 }
 
-// At 8,000 changes of a manifest a day, a copy from each of several peers
-// would spend the whole budget of bytes.
-// Order: three peers offer the same news; one of them never sends it.
-func TestLargeRegisterIsAskedForOnce(t *testing.T) {
+// A large register that several peers offer is requested once, and again only if
+// it does not arrive. At 8,000 changes of a manifest a day, a copy from each of
+// several peers would use up the whole byte budget. The test offers the same
+// register three times; the first peer never sends it.
+func TestLargeRegisterIsRequestedOnce(t *testing.T) {
 	n := node("a")
 	now := time.Date(2026, 1, 14, 5, 0, 0, 0, time.UTC)
 	offer := []peer.Mark{{Key: peer.KeyManifest, Number: 7}}
 	require.Equal(t, []string{peer.KeyManifest}, n.AcceptOffers(now, offer))
-	require.Empty(t, n.AcceptOffers(now.Add(time.Millisecond), offer), "it is on its way")
-	require.Equal(t, []string{peer.KeyManifest}, n.AcceptOffers(now.Add(time.Second), offer), "it did not come")
+	require.Empty(t, n.AcceptOffers(now.Add(time.Millisecond), offer), "already requested")
+	require.Equal(t, []string{peer.KeyManifest}, n.AcceptOffers(now.Add(time.Second), offer), "the request has timed out")
 	n.Store.Apply(peer.Entry{Key: peer.KeyManifest, Number: 7})
-	require.Empty(t, n.AcceptOffers(now.Add(time.Minute), offer), "it is held")
-	require.Empty(t, n.AcceptOffers(now.Add(time.Minute), []peer.Mark{{Key: peer.KeyManifest, Number: 6}}), "it is older")
+	require.Empty(t, n.AcceptOffers(now.Add(time.Minute), offer), "already held")
+	require.Empty(t, n.AcceptOffers(now.Add(time.Minute), []peer.Mark{{Key: peer.KeyManifest, Number: 6}}), "older than what is held")
 }
 
 func TestLargeRegisterReachesEveryRouter(t *testing.T) {
 	nodes := zone(t, 9)
 	nodes[2].Publish(peer.Entry{Key: peer.KeyManifest, Number: 1, Value: make([]byte, 1<<20)})
-	eventually(t, "the register is everywhere", func() bool {
+	eventually(t, "every router holds the register", func() bool {
 		for _, n := range nodes {
 			if e, ok := n.Store.Get(peer.KeyManifest); !ok || len(e.Value) != 1<<20 {
 				return false
@@ -124,21 +124,21 @@
 	})
 }
 
-// The first router of the rounds is gone; words must go on travelling.
-func TestRoundsGoOnWithoutTheFirstRouter(t *testing.T) {
+// Health must still reach every router when the root of the rounds is gone.
+func TestRoundsContinueWithoutRoot(t *testing.T) {
 	nodes := zone(t, 5)
 	seeds := nodes[1].Members("tartu")
-	dead := peer.Member{ID: "A", AvailabilityZone: "tartu", Program: peer.Router, Address: "127.0.0.1:1"} // before "a" in the order
+	dead := peer.Member{ID: "A", AvailabilityZone: "tartu", Program: peer.Router, Address: "127.0.0.1:1"} // sorts before "a"
 	for _, n := range nodes {
 		n.Publish(peer.Entry{Key: peer.KeyMember("tartu", dead.ID), Number: 1, Value: []byte(`{"id":"A","availability_zone":"tartu","program":"router","address":"127.0.0.1:1"}`)})
 	}
 	require.Len(t, seeds, 5)
 	nodes[0].Publish(peer.Entry{Key: peer.KeyGroup("tartu", "g"), Number: 1, Value: []byte(`{}`)})
 	nodes[3].Observe(redwinghall.GroupHealth{Group: "g", Generation: 1, Ready: true, SeenAt: time.Now()})
-	eventually(t, "the word is everywhere", func() bool { return everywhere(nodes, func(h redwinghall.GroupHealth) bool { return h.Ready }) })
+	eventually(t, "every router knows the group as ready", func() bool { return allHave(nodes, func(h redwinghall.GroupHealth) bool { return h.Ready }) })
 }
 
-// FuzzExchange sends any bytes as another process's state.
+// FuzzExchange sends arbitrary bytes as an exchange request.
 func FuzzExchange(f *testing.F) {
 	good, err := proto.Marshal(&rpc.ExchangeRequest{From: "b", AvailabilityZone: "tartu", WantHealth: true,
 		Entries: []*rpc.Entry{{Key: "az/tartu", Number: 2, Value: []byte("x")}},
@@ -156,7 +156,7 @@
 		r.Header.Set("Authorization", "Bearer "+token)
 		handler.ServeHTTP(httptest.NewRecorder(), r)
 		if e, _ := n.Store.Get("az/parnu"); e.Number < 1<<40 {
-			t.Fatal("a register went back")
+			t.Fatal("a register was replaced by an older one")
 		}
 	})
 }
--- a/peer/store.go
+++ b/peer/store.go
@@ -1,6 +1,6 @@
-// Package peer speaks to the other processes of redwinghall: it spreads
-// versioned registers and group health by push at a change and by a periodic
-// exchange that repairs what a push missed.
+// Package peer implements the exchange of state between the processes of
+// redwinghall. Versioned registers and the health of groups are pushed when they
+// change; a periodic exchange repairs what a push missed.
 package peer
 
 import (
@@ -12,7 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Keys of the registers. Keys below zonePrefix stay inside their zone.
+// Keys of the registers. Registers below zonePrefix are exchanged only within
+// their zone.
 const (
 	KeyManifest   = "manifest"
 	zonePrefix    = "zone/"
@@ -20,29 +21,30 @@
 	gatewayPrefix = "gateway/"
 )
 
-// KeyZoneState returns the register of the operators' decision on a zone.
+// KeyZoneState returns the key of the operators' decision on a zone.
 func KeyZoneState(zone string) string { return azPrefix + zone }
 
-// KeyGateway returns the register of a zone's routers that take forwarded work.
+// KeyGateway returns the key of the list of a zone's routers that accept
+// forwarded requests.
 func KeyGateway(zone string) string { return gatewayPrefix + zone }
 
-// KeyGroup returns the register of one group.
+// KeyGroup returns the key of a group.
 func KeyGroup(zone, id string) string { return PrefixGroups(zone) + id }
 
-// PrefixGroups returns what the group registers of a zone start with.
+// PrefixGroups returns the key prefix of the groups of a zone.
 func PrefixGroups(zone string) string { return zonePrefix + zone + "/group/" }
 
-// KeyServices returns the register of a zone's service endpoints.
+// KeyServices returns the key of a zone's service endpoints.
 func KeyServices(zone string) string { return zonePrefix + zone + "/services" }
 
-// PrefixMembers returns what the member registers of a zone start with.
+// PrefixMembers returns the key prefix of the members of a zone.
 func PrefixMembers(zone string) string { return zonePrefix + zone + "/member/" }
 
-// KeyMember returns the register of one process.
+// KeyMember returns the key of a member.
 func KeyMember(zone, id string) string { return PrefixMembers(zone) + id }
 
-// Scope is the set of registers that two processes share: all of one zone's
-// and the global ones, or between zones the global ones only.
+// Scope is the set of registers that two processes exchange: within a zone those
+// of the zone and the global ones, between zones only the global ones.
 type Scope struct {
 	zone string
 }
@@ -55,21 +57,21 @@
 	return Scope{}
 }
 
-func (s Scope) has(key string) bool {
+func (s Scope) contains(key string) bool {
 	if !strings.HasPrefix(key, zonePrefix) {
 		return true
 	}
 	return s.zone != "" && strings.HasPrefix(key, zonePrefix+s.zone+"/")
 }
 
-// Entry is a versioned register. The higher number wins.
+// Entry is a versioned register. The entry with the higher number wins.
 type Entry struct {
 	Key    string
 	Number uint64
 	Value  []byte
 }
 
-// Mark names a register and the number held of it.
+// Mark is the key of a register and the number that a process holds.
 type Mark struct {
 	Key    string
 	Number uint64
@@ -81,7 +83,7 @@
 	entries map[string]Entry
 	global  uint64
 	zones   map[string]uint64
-	version uint64 // rises with each change
+	version uint64 // incremented at each change
 	changed chan struct{}
 }
 
@@ -94,20 +96,20 @@
 	}
 }
 
-// Changed receives a value after one or more changes; several changes may
-// share one value.
+// Changed returns a channel that receives a value after one or more changes.
 func (s *Store) Changed() <-chan struct{} { return s.changed }
 
-// Apply takes the entries that are newer than those held and returns them.
+// Apply stores the entries that are newer than those held and returns them.
 //
-// Guard: a copy of an older manifest, zone decision or group that arrives late
-// from a peer, a restarted process or the platform would undo a newer one, and
-// a zone that was taken out would get work again. Numbers come from versions
-// of table rows, which only rise, so an equal or lower number is never applied.
+// An entry with an equal or lower number is never applied. Otherwise an older
+// manifest, zone decision or group that arrives late from a peer, a restarted
+// process or the platform would undo a newer one, and a zone that was taken out
+// of service would receive requests again. Numbers are versions of table rows,
+// which only increase.
 func (s *Store) Apply(entries ...Entry) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var taken []Entry
+	var applied []Entry
 	for _, e := range entries {
 		held, ok := s.entries[e.Key]
 		if ok && held.Number >= e.Number {
@@ -118,25 +120,25 @@
 		}
 		s.entries[e.Key] = e
 		s.toggle(e)
-		taken = append(taken, e)
+		applied = append(applied, e)
 	}
-	if len(taken) > 0 {
+	if len(applied) > 0 {
 		s.version++
 		select {
 		case s.changed <- struct{}{}:
 		default:
 		}
 	}
-	return taken
+	return applied
 }
 
-// toggle adds the entry to its scope's digest, or removes it: the digest is
-// the exclusive or of all entries' hashes.
+// toggle adds the entry to the digest of its scope or removes it: the digest is
+// the XOR of the hashes of all entries.
 func (s *Store) toggle(e Entry) {
 	var number [8]byte
 	binary.LittleEndian.PutUint64(number[:], e.Number)
 	hash := xxhash.New()
-	_, _ = hash.WriteString(e.Key) // a hash never fails
+	_, _ = hash.WriteString(e.Key) // a hash never returns an error
 	_, _ = hash.Write(number[:])
 	sum := hash.Sum64()
 	if !strings.HasPrefix(e.Key, zonePrefix) {
@@ -147,7 +149,7 @@
 	s.zones[zone] ^= sum
 }
 
-// Version rises with each change of the contents.
+// Version returns a number that increases with each change of the contents.
 func (s *Store) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +164,7 @@
 	return e, ok
 }
 
-// List returns the entries whose key starts with prefix, in key order.
+// List returns the entries whose key starts with prefix, ordered by key.
 func (s *Store) List(prefix string) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,7 +178,7 @@
 	return out
 }
 
-// Digest returns a hash of the scope's keys and numbers: equal digests mean
+// Digest returns a hash of the keys and numbers in the scope. Equal digests mean
 // equal contents.
 func (s *Store) Digest(scope Scope) uint64 {
 	s.mu.Lock()
@@ -187,20 +189,21 @@
 	return s.global ^ s.zones[scope.zone]
 }
 
-// Marks returns the numbers held in the scope.
+// Marks returns the marks of all registers in the scope.
 func (s *Store) Marks(scope Scope) []Mark {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Mark
 	for key, e := range s.entries {
-		if scope.has(key) {
+		if scope.contains(key) {
 			out = append(out, Mark{Key: key, Number: e.Number})
 		}
 	}
 	return out
 }
 
-// Outdated returns the keys of the marks that are newer than what is held.
+// Outdated returns the keys of the registers whose mark is newer than the entry
+// held.
 func (s *Store) Outdated(marks []Mark) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +216,7 @@
 	return out
 }
 
-// entriesOf returns the entries of the keys that are held.
+// entriesOf returns the entries of those keys that are present.
 func (s *Store) entriesOf(keys []string) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,7 +229,7 @@
 	return out
 }
 
-// Newer returns the scope's entries that are newer than the marks.
+// Newer returns the entries in the scope that are newer than the marks.
 func (s *Store) Newer(scope Scope, marks []Mark) []Entry {
 	theirs := make(map[string]uint64, len(marks))
 	for _, m := range marks {
@@ -236,7 +239,7 @@
 	defer s.mu.Unlock()
 	var out []Entry
 	for key, e := range s.entries {
-		if scope.has(key) && e.Number > theirs[key] {
+		if scope.contains(key) && e.Number > theirs[key] {
 			out = append(out, e)
 		}
 	}
--- a/peer/store_test.go
+++ b/peer/store_test.go
@@ -11,9 +11,9 @@
 	_ "redwinghall/rwhtest/fixedseed"
 )
 
-// A zone that was taken out gets work again.
-// Order: "out" arrives; an older "in" arrives late from another process.
-// Cause: the last message won.
+// An older "in" that arrives late from another process must not replace a newer
+// "out". If the last message won, a zone that was taken out of service would
+// receive requests again.
 func TestOlderEntryNeverReplacesNewer(t *testing.T) {
 	s := peer.NewStore()
 	key := peer.KeyZoneState("tartu")
@@ -34,8 +34,8 @@
 	require.Len(t, s.Marks(peer.ScopeOf("tartu", "parnu")), 1)
 }
 
-// Whatever arrives in whatever order: two stores that exchange what the other
-// lacks end up equal, and equal digests mean equal contents.
+// Two stores that exchange what the other lacks become equal, whatever arrives in
+// whatever order, and equal digests mean equal contents.
 func TestStoresBecomeEqual(t *testing.T) {
 	entry := rapid.Custom(func(rt *rapid.T) peer.Entry {
 		return peer.Entry{
