--- a/node/node.go
+++ b/node/node.go
@@ -86,7 +86,7 @@
 		Zones: s.Zones, FirstStart: s.FirstStart, Now: kernel.BootTime,
 	}, n.source)
 	n.manager = formation.NewManager(formation.Options{
-		Settings: n.currentSettings, Book: n.cache, Orderer: platform.NewEngines(), Position: n.table.Position,
+		Settings: n.currentSettings, Book: n.cache, Orderer: platform.NewEndpointClient(), Position: n.table.Position,
 		Holds:    func(zone string) bool { return n.table.HoldsLease(zone, kernel.BootTime()) },
 		HeldFrom: n.table.LeasePosition,
 		Settled:  n.table.Recovered,
