--- a/gateway/request.go
+++ b/gateway/request.go
@@ -14,7 +14,7 @@
 // Request is a caller's request, read whole, with the route and the account
 // that were found for it.
 type Request struct {
-	Ask     platform.Ask
+	Ask     platform.RequestInfo
 	Method  string
 	Host    string
 	Target  string // path and query as the caller sent them
