--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -108,7 +108,7 @@
 // refusal the request is as far as it was read.
 func (g *Gateway) admit(in *http.Request, now time.Time) (*Request, *refusal) {
 	r := &Request{
-		Ask: platform.DecodeAsk(in.Header), Method: in.Method, Host: in.Host, Target: in.RequestURI,
+		Ask: platform.DecodeRequestInfo(in.Header), Method: in.Method, Host: in.Host, Target: in.RequestURI,
 		Header: in.Header, Arrived: now, view: g.Book.View(),
 	}
 	if in.URL.IsAbs() {
--- a/node/connections.go
+++ b/node/connections.go
@@ -120,7 +120,7 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	state.requests++
-	state.requestID, state.requestedAt = platform.DecodeAsk(r.Header).ID, now
+	state.requestID, state.requestedAt = platform.DecodeRequestInfo(r.Header).ID, now
 	if state.closed {
 		klog.InfoS("request_on_closed_connection", "request", state.requestID, "connection", state.kind(),
 			"open_for", now.Sub(state.opened), "idle_since", now.Sub(state.idleSince))
