--- a/gateway/request.go
+++ b/gateway/request.go
@@ -67,8 +67,8 @@
 func (r *Request) withDeadline() {
 	r.Deadline = r.Arrived.Add(r.Route.Timeout)
 	r.ByRoute = true
-	if r.Ask.Patience > 0 && (r.Ask.Patience < r.Route.Timeout || r.Route.Timeout <= 0) {
-		r.Deadline = r.Arrived.Add(r.Ask.Patience)
+	if r.Ask.Timeout > 0 && (r.Ask.Timeout < r.Route.Timeout || r.Route.Timeout <= 0) {
+		r.Deadline = r.Arrived.Add(r.Ask.Timeout)
 		r.ByRoute = false
 	}
 }
