--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -117,7 +117,7 @@
 	Header  http.Header
 	Body    io.ReadCloser
 	Length  int64 // -1 if the answer doesn't say
-	Verdict platform.Verdict
+	Verdict platform.ResponseInfo
 }
 
 // Send sends one request to an endpoint, once. Ending ctx closes the connection.
