--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -144,7 +144,7 @@
 		}
 		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, err)
 	}
-	verdict := platform.DecodeVerdict(answer.StatusCode, answer.Header)
+	verdict := platform.DecodeResponseInfo(answer.StatusCode, answer.Header)
 	if verdict.RequestID != "" && verdict.RequestID != in.Ask.ID {
 		// Guard: an endpoint may send a second, late answer on a kept connection,
 		// where the next request's answer is expected. The echoed id tells.
