--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -121,7 +121,7 @@
 }
 
 // Send sends one request to an endpoint, once. Ending ctx closes the connection.
-func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.Forward) (*Answer, error) {
+func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.ForwardHeaders) (*Answer, error) {
 	var conn *countedConn
 	var before int64
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
