--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -296,6 +296,6 @@
 // forward returns what is added to a request for an endpoint.
 func (g *Gateway) forward(r *Request, e *fleet.Endpoint, lastEvent string) platform.ForwardHeaders {
 	return platform.ForwardHeaders{
-		Left: r.Left(time.Now()), Endpoint: e.ID, Account: r.account(), Priority: r.Priority(), LastEvent: lastEvent,
+		Timeout: r.Left(time.Now()), Endpoint: e.ID, Account: r.account(), Priority: r.Priority(), LastEvent: lastEvent,
 	}
 }
