--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -256,7 +256,7 @@
 		g.refuse(w, r, refusal{status: http.StatusBadGateway, reason: "answer_unusable"})
 		return
 	}
-	platform.CopyAnswer(w.Header(), last.answer.Header)
+	platform.CopyResponseHeaders(w.Header(), last.answer.Header)
 	w.WriteHeader(status)
 	if err := passBody(w, last); err != nil {
 		klog.InfoS("answer_broken_off", "request", r.Ask.ID, "status", status, "err", err)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -210,7 +210,7 @@
 		return
 	}
 	c.begun = true
-	platform.CopyAnswer(c.w.Header(), answer.Header)
+	platform.CopyResponseHeaders(c.w.Header(), answer.Header)
 	c.w.WriteHeader(answer.Status)
 }
 
