--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -24,7 +24,7 @@
 // the members' table, where every write counts as it shows that a node is alive.
 func sameValue(table string) relay.EqualValues {
 	if table == platform.TableEndpoints {
-		return platform.SameEntry
+		return platform.EqualEntries
 	}
 	return nil
 }
