--- a/directory/follower.go
+++ b/directory/follower.go
@@ -232,7 +232,7 @@
 )
 
 func (f *Follower) decodeOperators(row fleet.Row, _ time.Time) (Change, bool) {
-	if zone, ok := platform.ZoneOut(row.Key); ok {
+	if zone, ok := platform.EvacuatedZone(row.Key); ok {
 		klog.InfoS("zone_decided", "zone", zone, "out", !row.Removed, "version", row.Version)
 		if row.Removed {
 			return Change{ZoneIn: zone}, true
@@ -278,7 +278,7 @@
 func (f *Follower) missingOperators(rows []fleet.Row) []Change {
 	_, zones := f.cache.Known()
 	var changes []Change
-	for _, zone := range missingNames(zones, rows, func(row fleet.Row) string { z, _ := platform.ZoneOut(row.Key); return z }) {
+	for _, zone := range missingNames(zones, rows, func(row fleet.Row) string { z, _ := platform.EvacuatedZone(row.Key); return z }) {
 		changes = append(changes, Change{ZoneIn: zone})
 	}
 	return changes
