--- a/gateway/stop_expected_test.go
+++ b/gateway/stop_expected_test.go
@@ -32,7 +32,7 @@
 		sign(w, r)
 	})
 	ask := func(path, id string) answer {
-		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), path, nil, platformtest.Ask{
+		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), path, nil, platformtest.RequestInfo{
 			ID: id, Key: "key-1", Patience: 3 * time.Second,
 		})
 		require.NoError(t, err)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -157,7 +157,7 @@
 }
 
 func (d *deployment) ask(method, path, id string) (int, string) {
-	r, err := platformtest.NewRequest(context.Background(), method, d.settings.Callers, path, nil, platformtest.Ask{
+	r, err := platformtest.NewRequest(context.Background(), method, d.settings.Callers, path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Patience: 5 * time.Second, Prompt: 100, Answer: 30,
 	})
 	require.NoError(d.t, err)
--- a/node/stop_connections_test.go
+++ b/node/stop_connections_test.go
@@ -69,7 +69,7 @@
 // ask sends a request and reads the response, which must be complete and successful.
 func (c *callerConn) ask(path, id string) *http.Response {
 	c.d.t.Helper()
-	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, c.d.settings.Callers, path, nil, platformtest.Ask{
+	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, c.d.settings.Callers, path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Patience: 6 * time.Second, Prompt: 100, Answer: longTokens,
 	})
 	require.NoError(c.d.t, err)
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -151,7 +151,7 @@
 		method = http.MethodGet
 	}
 	address := c.world.nodes[c.node].settings.Callers
-	r, err := platformtest.NewRequest(ctx, method, address, "/"+a.kind+"/x", nil, platformtest.Ask{
+	r, err := platformtest.NewRequest(ctx, method, address, "/"+a.kind+"/x", nil, platformtest.RequestInfo{
 		ID: a.id, Key: key, Model: "m0", Patience: callerPatience, Prompt: 100, Answer: answerTokens,
 	})
 	if err != nil {
