--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -141,7 +141,7 @@
 		body = strings.NewReader("amount=50")
 	}
 	r, err := platformtest.NewRequest(context.Background(), method, s.server.Listener.Addr().String(), path, body, platformtest.RequestInfo{
-		ID: "r-1", Key: "key-1", Model: "m0", Patience: 3 * time.Second, Prompt: 100, Answer: 50,
+		ID: "r-1", Key: "key-1", Model: "m0", Timeout: 3 * time.Second, Prompt: 100, Answer: 50,
 	})
 	require.NoError(s.t, err)
 	return r
--- a/gateway/stop_expected_test.go
+++ b/gateway/stop_expected_test.go
@@ -33,7 +33,7 @@
 	})
 	ask := func(path, id string) answer {
 		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), path, nil, platformtest.RequestInfo{
-			ID: id, Key: "key-1", Patience: 3 * time.Second,
+			ID: id, Key: "key-1", Timeout: 3 * time.Second,
 		})
 		require.NoError(t, err)
 		return s.do(r)
--- a/gateway/stop_retry_test.go
+++ b/gateway/stop_retry_test.go
@@ -48,7 +48,7 @@
 			s.endpoint("other", one.service, answering)
 			ask := func(id string) answer {
 				r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), one.path, nil, platformtest.RequestInfo{
-					ID: id, Key: "key-1", Model: "m0", Patience: 3 * time.Second, Prompt: 100, Answer: 60,
+					ID: id, Key: "key-1", Model: "m0", Timeout: 3 * time.Second, Prompt: 100, Answer: 60,
 				})
 				require.NoError(t, err)
 				return s.do(r)
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -96,7 +96,7 @@
 	} {
 		id := fmt.Sprintf("%s, %d tokens, %s", one.path, one.answer, one.patience)
 		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), one.path, nil, platformtest.RequestInfo{
-			ID: id, Key: "key-1", Model: "m0", Patience: one.patience, Prompt: 100, Answer: one.answer,
+			ID: id, Key: "key-1", Model: "m0", Timeout: one.patience, Prompt: 100, Answer: one.answer,
 		})
 		require.NoError(t, err)
 		asked := time.Now()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -158,7 +158,7 @@
 
 func (d *deployment) ask(method, path, id string) (int, string) {
 	r, err := platformtest.NewRequest(context.Background(), method, d.settings.Callers, path, nil, platformtest.RequestInfo{
-		ID: id, Key: "key-1", Model: "m0", Patience: 5 * time.Second, Prompt: 100, Answer: 30,
+		ID: id, Key: "key-1", Model: "m0", Timeout: 5 * time.Second, Prompt: 100, Answer: 30,
 	})
 	require.NoError(d.t, err)
 	return d.send(http.DefaultClient, r)
--- a/node/stop_answer_test.go
+++ b/node/stop_answer_test.go
@@ -23,7 +23,7 @@
 	d.start()
 	d.waitOpen()
 	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, d.settings.Callers, "/book/x", nil, platformtest.RequestInfo{
-		ID: "under-way", Key: "key-1", Patience: 5 * time.Second,
+		ID: "under-way", Key: "key-1", Timeout: 5 * time.Second,
 	})
 	require.NoError(t, err)
 	stopping := kernel.NewGroup(context.Background())
--- a/node/stop_connections_test.go
+++ b/node/stop_connections_test.go
@@ -70,7 +70,7 @@
 func (c *callerConn) ask(path, id string) *http.Response {
 	c.d.t.Helper()
 	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, c.d.settings.Callers, path, nil, platformtest.RequestInfo{
-		ID: id, Key: "key-1", Model: "m0", Patience: 6 * time.Second, Prompt: 100, Answer: longTokens,
+		ID: id, Key: "key-1", Model: "m0", Timeout: 6 * time.Second, Prompt: 100, Answer: longTokens,
 	})
 	require.NoError(c.d.t, err)
 	require.NoError(c.d.t, r.Write(c.conn))
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -152,7 +152,7 @@
 	}
 	address := c.world.nodes[c.node].settings.Callers
 	r, err := platformtest.NewRequest(ctx, method, address, "/"+a.kind+"/x", nil, platformtest.RequestInfo{
-		ID: a.id, Key: key, Model: "m0", Patience: callerPatience, Prompt: 100, Answer: answerTokens,
+		ID: a.id, Key: key, Model: "m0", Timeout: callerPatience, Prompt: 100, Answer: answerTokens,
 	})
 	if err != nil {
 		a.broken = true
--- a/soak/session.go
+++ b/soak/session.go
@@ -114,7 +114,7 @@
 		method = http.MethodGet
 	}
 	r, err := platformtest.NewRequest(ctx, method, s.conn.node.settings.Callers, "/"+a.kind+"/x", nil, platformtest.RequestInfo{
-		ID: a.id, Key: stableKey, Model: "m0", Patience: platformtest.RouteTimeout, Prompt: 100, Answer: a.events * longEventTokens,
+		ID: a.id, Key: stableKey, Model: "m0", Timeout: platformtest.RouteTimeout, Prompt: 100, Answer: a.events * longEventTokens,
 	})
 	if err != nil {
 		panic(err) // all its parts are constant
