--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -204,7 +204,7 @@
 	require.Equal(t, "/book/a%2Fb?x=1&y=%20", seen.RequestURI)
 	require.Equal(t, "a.example", seen.Host)
 	require.Equal(t, "amount=50", body)
-	require.Equal(t, platformtest.Received{ID: "r-1", Account: "depot", Endpoint: "e1"}, platformtest.Read(seen))
+	require.Equal(t, platformtest.ReceivedHeaders{ID: "r-1", Account: "depot", Endpoint: "e1"}, platformtest.Read(seen))
 	require.Empty(t, seen.Header.Get("Authorization"))
 }
 
