--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -165,7 +165,7 @@
 
 // sign marks an answer as the endpoint's own.
 func sign(w http.ResponseWriter, r *http.Request) {
-	platformtest.Sign(w, platformtest.Read(r).ID, "sig")
+	platformtest.Sign(w, platformtest.ReadHeaders(r).ID, "sig")
 }
 
 func events(w http.ResponseWriter, from, to int) {
@@ -204,7 +204,7 @@
 	require.Equal(t, "/book/a%2Fb?x=1&y=%20", seen.RequestURI)
 	require.Equal(t, "a.example", seen.Host)
 	require.Equal(t, "amount=50", body)
-	require.Equal(t, platformtest.ReceivedHeaders{ID: "r-1", Account: "depot", Endpoint: "e1"}, platformtest.Read(seen))
+	require.Equal(t, platformtest.ReceivedHeaders{ID: "r-1", Account: "depot", Endpoint: "e1"}, platformtest.ReadHeaders(seen))
 	require.Empty(t, seen.Header.Get("Authorization"))
 }
 
@@ -257,7 +257,7 @@
 			s := newSite(t)
 			var runs atomic.Int32
 			broken := func(w http.ResponseWriter, r *http.Request) {
-				if platformtest.Read(r).ID == "warm" {
+				if platformtest.ReadHeaders(r).ID == "warm" {
 					sign(w, r)
 					return
 				}
@@ -303,7 +303,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
 			s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
-				platformtest.Echo(w, platformtest.Read(r).ID)
+				platformtest.Echo(w, platformtest.ReadHeaders(r).ID)
 				if c.notRun {
 					platformtest.PromiseNotRun(w)
 				}
@@ -330,7 +330,7 @@
 func TestUnsignedSuccessIsNotPassedOn(t *testing.T) {
 	s := newSite(t)
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
-		platformtest.Echo(w, platformtest.Read(r).ID)
+		platformtest.Echo(w, platformtest.ReadHeaders(r).ID)
 		_, _ = w.Write([]byte("?")) // the reader tells what came
 	})
 	require.Equal(t, http.StatusBadGateway, s.do(s.request(http.MethodPost, "/book/")).status)
@@ -369,7 +369,7 @@
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				sign(w, r)
 				mu.Lock()
-				lasts = append(lasts, platformtest.Read(r).LastEvent)
+				lasts = append(lasts, platformtest.ReadHeaders(r).LastEvent)
 				attempt := len(lasts)
 				mu.Unlock()
 				if attempt == 1 {
@@ -447,7 +447,7 @@
 func TestTwoRefusalsAreARefusal(t *testing.T) {
 	s := newSite(t)
 	busy := func(w http.ResponseWriter, r *http.Request) {
-		platformtest.Echo(w, platformtest.Read(r).ID)
+		platformtest.Echo(w, platformtest.ReadHeaders(r).ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}
 	s.endpoint("e1", "llm", busy)
--- a/gateway/stop_expected_test.go
+++ b/gateway/stop_expected_test.go
@@ -23,7 +23,7 @@
 	const bookingTime = 2 * time.Second
 	var late atomic.Int32
 	s.endpoint("desk-1", "desk", func(w http.ResponseWriter, r *http.Request) {
-		if platformtest.Read(r).ID == "late" {
+		if platformtest.ReadHeaders(r).ID == "late" {
 			late.Add(1)
 		}
 		if r.URL.Path == "/book/x" {
--- a/gateway/stop_retry_test.go
+++ b/gateway/stop_retry_test.go
@@ -32,11 +32,11 @@
 			s := newSite(t)
 			var tries atomic.Int32
 			answering := func(w http.ResponseWriter, r *http.Request) {
-				if platformtest.Read(r).ID == "earlier" {
+				if platformtest.ReadHeaders(r).ID == "earlier" {
 					time.Sleep(300 * time.Millisecond) // which is what a call is expected to take
 				} else if tries.Add(1) == 1 {
 					time.Sleep(600 * time.Millisecond)
-					w.Header().Set("Request-Id", platformtest.Read(r).ID)
+					w.Header().Set("Request-Id", platformtest.ReadHeaders(r).ID)
 					platformtest.PromiseNotRun(w)
 					w.WriteHeader(http.StatusServiceUnavailable)
 					return
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -70,7 +70,7 @@
 	s := newSite(t)
 	var ran sync.Map // request ids
 	answering := func(w http.ResponseWriter, r *http.Request) {
-		ran.Store(platformtest.Read(r).ID, true)
+		ran.Store(platformtest.ReadHeaders(r).ID, true)
 		sign(w, r)
 		events(w, 1, 3)
 	}
