--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -303,7 +303,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
 			s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
-				platformtest.Echo(w, platformtest.ReadHeaders(r).ID)
+				platformtest.SetRequestID(w, platformtest.ReadHeaders(r).ID)
 				if c.notRun {
 					platformtest.PromiseNotRun(w)
 				}
@@ -330,7 +330,7 @@
 func TestUnsignedSuccessIsNotPassedOn(t *testing.T) {
 	s := newSite(t)
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
-		platformtest.Echo(w, platformtest.ReadHeaders(r).ID)
+		platformtest.SetRequestID(w, platformtest.ReadHeaders(r).ID)
 		_, _ = w.Write([]byte("?")) // the reader tells what came
 	})
 	require.Equal(t, http.StatusBadGateway, s.do(s.request(http.MethodPost, "/book/")).status)
@@ -447,7 +447,7 @@
 func TestTwoRefusalsAreARefusal(t *testing.T) {
 	s := newSite(t)
 	busy := func(w http.ResponseWriter, r *http.Request) {
-		platformtest.Echo(w, platformtest.ReadHeaders(r).ID)
+		platformtest.SetRequestID(w, platformtest.ReadHeaders(r).ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}
 	s.endpoint("e1", "llm", busy)
