--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -305,7 +305,7 @@
 			s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 				platformtest.SetRequestID(w, platformtest.ReadHeaders(r).ID)
 				if c.notRun {
-					platformtest.PromiseNotRun(w)
+					platformtest.SetNotExecuted(w)
 				}
 				w.WriteHeader(http.StatusServiceUnavailable)
 			})
--- a/gateway/stop_retry_test.go
+++ b/gateway/stop_retry_test.go
@@ -37,7 +37,7 @@
 				} else if tries.Add(1) == 1 {
 					time.Sleep(600 * time.Millisecond)
 					w.Header().Set("Request-Id", platformtest.ReadHeaders(r).ID)
-					platformtest.PromiseNotRun(w)
+					platformtest.SetNotExecuted(w)
 					w.WriteHeader(http.StatusServiceUnavailable)
 					return
 				}
--- a/gateway/turned_away_test.go
+++ b/gateway/turned_away_test.go
@@ -20,7 +20,7 @@
 	var turnedAway atomic.Int32
 	s.endpoint("closed", "llm", func(w http.ResponseWriter, _ *http.Request) {
 		turnedAway.Add(1)
-		platformtest.PromiseNotRun(w)
+		platformtest.SetNotExecuted(w)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	s.endpoint("open", "llm", func(w http.ResponseWriter, r *http.Request) {
