--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -16,7 +16,7 @@
 	var asked atomic.Int32
 	s.endpoint(id, service, func(w http.ResponseWriter, r *http.Request) {
 		asked.Add(1)
-		platformtest.NameLimit(w, perSecond)
+		platformtest.SetLimitHeader(w, perSecond)
 		sign(w, r)
 		if service == "llm" {
 			events(w, 1, 3)
