--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -152,7 +152,7 @@
 				if path == "/look/x" {
 					limited = z.desks[0]
 				}
-				limited.NameLimit(perSecond)
+				limited.SetRateLimit(perSecond)
 				named := time.Now()
 				answered := z.runCallers(t, 8*time.Second, method, path)
 				most := platformtest.MostIn(limited.Arrived(), limitWindow, named.Add(limitSettleTime))
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -26,7 +26,7 @@
 	e, perSecond := w.pickEndpoint(), float64(1+w.pick(highestLimit))
 	w.note("%s names a limit of %g a second for %s", e.config.ID, perSecond, limitLasts+lasts)
 	named := time.Now()
-	e.endpoint.NameLimit(perSecond)
+	e.endpoint.SetRateLimit(perSecond)
 	kernel.Sleep(ctx, limitLasts+lasts)
 	w.judgeLimit(e, perSecond, named)
 	e.endpoint.EndLimit()
