--- a/soak/limits.go
+++ b/soak/limits.go
@@ -29,7 +29,7 @@
 	e.endpoint.SetRateLimit(perSecond)
 	kernel.Sleep(ctx, limitLasts+lasts)
 	w.judgeLimit(e, perSecond, named)
-	e.endpoint.EndLimit()
+	e.endpoint.ClearRateLimit()
 	return nil
 }
 
