--- a/node/era_test.go
+++ b/node/era_test.go
@@ -54,11 +54,11 @@
 			left := time.Now()
 			require.NoError(t, z.nodes[0].store.Put("op", "config", platformtest.Configuration(2, "key-1", "key-2")))
 			z.runCallers(t, 5*time.Second, http.MethodGet, "/look/x")
-			for _, at := range z.desks[0].Arrived() {
+			for _, at := range z.desks[0].ArrivalTimes() {
 				require.Less(t, at.Sub(left), drainBound)
 			}
 			require.LessOrEqual(t, z.nodes[0].store.Refused(), refused, "nodes keep requesting changes that the store doesn't have")
-			require.NotEmpty(t, z.desks[1].Arrived(), fmt.Sprint(nodes))
+			require.NotEmpty(t, z.desks[1].ArrivalTimes(), fmt.Sprint(nodes))
 		})
 	}
 }
