--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -155,7 +155,7 @@
 				limited.SetRateLimit(perSecond)
 				named := time.Now()
 				answered := z.runCallers(t, 8*time.Second, method, path)
-				most := platformtest.MostIn(limited.ArrivalTimes(), limitWindow, named.Add(limitSettleTime))
+				most := platformtest.MaxInWindow(limited.ArrivalTimes(), limitWindow, named.Add(limitSettleTime))
 				require.LessOrEqual(t, most, limitAllows(perSecond))
 				require.Positive(t, most, "the endpoint still receives requests within its limit")
 				require.Greater(t, answered, 100, "the other endpoints serve the remaining requests")
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -42,7 +42,7 @@
 	if w.disturbed.After(from) {
 		from = w.disturbed
 	}
-	most := platformtest.MostIn(e.endpoint.ArrivalTimes(), limitWindow, from.Add(limitContact))
+	most := platformtest.MaxInWindow(e.endpoint.ArrivalTimes(), limitWindow, from.Add(limitContact))
 	if allowed := limitOvershoot*perSecond*limitWindow.Seconds() + limitSlack; float64(most) > allowed {
 		w.mistakes = append(w.mistakes, fmt.Sprintf("%s named a limit of %g a second and got %d requests in %s", e.config.ID, perSecond, most, limitWindow))
 	}
