--- a/node/era_test.go
+++ b/node/era_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	const lost = 400 // versions
 	store := z.nodes[0].store
-	kept := store.Copy()
+	kept := store.Snapshot()
 	for i := range lost {
 		require.NoError(t, store.Put("status", "note", i))
 	}
--- a/soak/return.go
+++ b/soak/return.go
@@ -18,7 +18,7 @@
 // storeComesBackOlder lets the store come back from a copy. Operators and endpoints write
 // again what it lost; entries of endpoints that have ended since are removed for their silence.
 func storeComesBackOlder(ctx context.Context, w *world, lasts time.Duration) error {
-	kept := w.store.Copy()
+	kept := w.store.Snapshot()
 	kernel.Sleep(ctx, copyAge+lasts)
 	w.note("store comes back from a copy %s old", copyAge+lasts)
 	w.store.ComeBack(kept)
