--- a/node/era_test.go
+++ b/node/era_test.go
@@ -26,7 +26,7 @@
 		require.NoError(t, store.Put("status", "note", i))
 	}
 	time.Sleep(2 * time.Second) // until all nodes have read these versions
-	store.ComeBack(kept)
+	store.Restore(kept)
 	for _, e := range z.all() {
 		require.NoError(t, e.Beat())
 	}
--- a/soak/return.go
+++ b/soak/return.go
@@ -21,7 +21,7 @@
 	kept := w.store.Snapshot()
 	kernel.Sleep(ctx, copyAge+lasts)
 	w.note("store comes back from a copy %s old", copyAge+lasts)
-	w.store.ComeBack(kept)
+	w.store.Restore(kept)
 	if err := w.writeAgain(); err != nil {
 		return err
 	}
