--- a/node/era_test.go
+++ b/node/era_test.go
@@ -49,7 +49,7 @@
 			z := deployZones(t, nodes)
 			z.restoreStore(t)
 			time.Sleep(2 * time.Second)
-			refused := z.nodes[0].store.Refused()
+			refused := z.nodes[0].store.RefusedFeeds()
 			require.NoError(t, z.desks[0].Drain())
 			left := time.Now()
 			require.NoError(t, z.nodes[0].store.Put("op", "config", platformtest.Configuration(2, "key-1", "key-2")))
@@ -57,7 +57,7 @@
 			for _, at := range z.desks[0].ArrivalTimes() {
 				require.Less(t, at.Sub(left), drainBound)
 			}
-			require.LessOrEqual(t, z.nodes[0].store.Refused(), refused, "nodes keep requesting changes that the store doesn't have")
+			require.LessOrEqual(t, z.nodes[0].store.RefusedFeeds(), refused, "nodes keep requesting changes that the store doesn't have")
 			require.NotEmpty(t, z.desks[1].ArrivalTimes(), fmt.Sprint(nodes))
 		})
 	}
