--- a/node/node_test.go
+++ b/node/node_test.go
@@ -206,7 +206,7 @@
 	d := deploy(t)
 	d.start()
 	d.waitServing()
-	d.store.Forget()
+	d.store.DropHistory()
 	require.NoError(t, d.store.Put("op", "config", platformtest.Configuration(2, "key-2")))
 	require.Eventually(t, func() bool {
 		status, _ := d.ask(http.MethodGet, "/look/x", "look-1")
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -212,7 +212,7 @@
 
 func forget(_ context.Context, w *world, _ time.Duration) error {
 	w.note("store forgets")
-	w.store.Forget()
+	w.store.DropHistory()
 	return nil
 }
 
