--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -62,7 +62,7 @@
 }
 
 // endpoints adds the engines of two groups and two desk endpoints to a zone.
-func (z *zonedDeployment) endpoints(t *testing.T, store *platformtest.Store, ledger *platformtest.Ledger, zone string) {
+func (z *zonedDeployment) endpoints(t *testing.T, store *platformtest.Store, ledger *platformtest.RunCounter, zone string) {
 	t.Helper()
 	add := func(config platformtest.EndpointConfig) *platformtest.Endpoint {
 		e, err := platformtest.NewEndpoint(config, store, ledger)
@@ -81,7 +81,7 @@
 	}
 }
 
-func startNode(t *testing.T, store *platformtest.Store, ledger *platformtest.Ledger, name, zone string, zones []string) *deployment {
+func startNode(t *testing.T, store *platformtest.Store, ledger *platformtest.RunCounter, name, zone string, zones []string) *deployment {
 	t.Helper()
 	d := &deployment{t: t, store: store, ledger: ledger, done: make(chan error, 1)}
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%100, 1+os.Getpid()/100%250, hosts.Add(1))
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -26,7 +26,7 @@
 type deployment struct {
 	t        *testing.T
 	store    *platformtest.Store
-	ledger   *platformtest.Ledger
+	ledger   *platformtest.RunCounter
 	engines  []*platformtest.Endpoint
 	settings platformtest.NodeSettings
 	path     string
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -79,7 +79,7 @@
 }
 
 // close checks what can only be told at the end: what the endpoints ran.
-func (t *tally) close(ledger *platformtest.Ledger) []string {
+func (t *tally) close(ledger *platformtest.RunCounter) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, id := range t.booked {
--- a/soak/promise.go
+++ b/soak/promise.go
@@ -83,7 +83,7 @@
 }
 
 // close checks what can only be told at the end, and reports.
-func (p *promise) close(ledger *platformtest.Ledger, report *Report) {
+func (p *promise) close(ledger *platformtest.RunCounter, report *Report) {
 	for _, x := range p.silent {
 		if ledger.Runs(x.id) > 0 {
 			p.mistakes = append(p.mistakes, x.story("ran and got no answer"))
--- a/soak/world.go
+++ b/soak/world.go
@@ -75,7 +75,7 @@
 	random *rand.Rand
 	group  *kernel.Group
 	store  *platformtest.Store
-	ledger *platformtest.Ledger
+	ledger *platformtest.RunCounter
 	set    *process.Set
 
 	mu        sync.Mutex
