--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -38,7 +38,7 @@
 // deployZones starts the given number of nodes in each zone and waits until all of them serve.
 func deployZones(t *testing.T, nodes map[string]int) *zonedDeployment {
 	t.Helper()
-	store, ledger := platformtest.NewStore(), platformtest.NewLedger()
+	store, ledger := platformtest.NewStore(), platformtest.NewRunCounter()
 	t.Cleanup(store.Close)
 	require.NoError(t, store.Put("op", "config", platformtest.Configuration(1, "key-1")))
 	z := &zonedDeployment{heads: map[string][]*platformtest.Endpoint{}}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -72,7 +72,7 @@
 // and whose booking desk takes the time given by desk.
 func deployWith(t *testing.T, engine, desk platformtest.EndpointConfig) *deployment {
 	t.Helper()
-	d := &deployment{t: t, store: platformtest.NewStore(), ledger: platformtest.NewLedger(), done: make(chan error, 1)}
+	d := &deployment{t: t, store: platformtest.NewStore(), ledger: platformtest.NewRunCounter(), done: make(chan error, 1)}
 	t.Cleanup(d.store.Close)
 	require.NoError(t, d.store.Put("op", "config", platformtest.Configuration(1, "key-1")))
 	for i := range 3 {
--- a/soak/world.go
+++ b/soak/world.go
@@ -103,7 +103,7 @@
 func newWorld(config Config) (*world, error) {
 	w := &world{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, 7)), group: kernel.NewGroup(context.Background()),
-		store: platformtest.NewStore(), ledger: platformtest.NewLedger(), set: process.NewSet(config.Bin, config.Dir), version: 1,
+		store: platformtest.NewStore(), ledger: platformtest.NewRunCounter(), set: process.NewSet(config.Bin, config.Dir), version: 1,
 	}
 	if err := w.store.Put("op", "config", platformtest.Configuration(1, stableKey, withdrawnKey)); err != nil {
 		return nil, err
