--- a/node/node_test.go
+++ b/node/node_test.go
@@ -186,7 +186,7 @@
 	d.waitServing()
 	status, body := d.ask(http.MethodPost, "/stream/x", "ask-1")
 	require.Equal(t, http.StatusOK, status)
-	require.Equal(t, platformtest.WholeAnswer("ask-1", answerEvents), body)
+	require.Equal(t, platformtest.FullResponse("ask-1", answerEvents), body)
 	status, body = d.ask(http.MethodPost, "/book/x", "book-1")
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "done book-1", body)
@@ -228,7 +228,7 @@
 			for i := range 20 {
 				status, body := d.ask(http.MethodPost, "/stream/x", fmt.Sprint("ask-", i))
 				require.Equal(t, http.StatusOK, status)
-				require.Equal(t, platformtest.WholeAnswer(fmt.Sprint("ask-", i), answerEvents), body)
+				require.Equal(t, platformtest.FullResponse(fmt.Sprint("ask-", i), answerEvents), body)
 				time.Sleep(100 * time.Millisecond)
 			}
 			d.store.SetFaults(platformtest.Faults{})
@@ -253,7 +253,7 @@
 				id := fmt.Sprintf("ask-%d-%d", i, n)
 				status, body := d.ask(http.MethodPost, "/stream/x", id)
 				mu.Lock()
-				if status == http.StatusOK && body == platformtest.WholeAnswer(id, answerEvents) {
+				if status == http.StatusOK && body == platformtest.FullResponse(id, answerEvents) {
 					answered++
 				} else if d.ledger.Runs(id) > 0 {
 					broken++
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -74,7 +74,7 @@
 	status, body := c.d.send(c.client, r)
 	want := "done " + id
 	if c.path == "/stream/x" {
-		want = platformtest.WholeAnswer(id, longEvents)
+		want = platformtest.FullResponse(id, longEvents)
 	}
 	return status, body == want
 }
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -66,7 +66,7 @@
 func (t *tally) judgeAnswer(a attempt) {
 	want := "done " + a.id
 	if a.kind == "stream" {
-		want = platformtest.WholeAnswer(a.id, a.events)
+		want = platformtest.FullResponse(a.id, a.events)
 	}
 	switch {
 	case !a.broken && a.body == want:
