--- a/node/era_test.go
+++ b/node/era_test.go
@@ -28,7 +28,7 @@
 	time.Sleep(2 * time.Second) // until all nodes have read these versions
 	store.Restore(kept)
 	for _, e := range z.all() {
-		require.NoError(t, e.Beat())
+		require.NoError(t, e.Heartbeat())
 	}
 }
 
--- a/soak/return.go
+++ b/soak/return.go
@@ -38,7 +38,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range w.endpoints {
-		if err := e.endpoint.Beat(); err != nil {
+		if err := e.endpoint.Heartbeat(); err != nil {
 			return err
 		}
 	}
