--- a/soak/faults.go
+++ b/soak/faults.go
@@ -186,7 +186,7 @@
 	w.note("%s ends for %s", e.config.ID, lasts)
 	e.endpoint.Close()
 	kernel.Sleep(ctx, lasts)
-	e.endpoint.Leave()
+	e.endpoint.Unregister()
 	w.mu.Lock()
 	for i, one := range w.endpoints {
 		if one == e {
--- a/soak/return.go
+++ b/soak/return.go
@@ -29,7 +29,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range w.ended {
-		e.endpoint.Leave()
+		e.endpoint.Unregister()
 	}
 	return nil
 }
