--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -100,7 +100,7 @@
 func (z *zonedDeployment) open(t *testing.T, zone string) *platformtest.Endpoint {
 	t.Helper()
 	for _, e := range z.heads[zone] {
-		if e.Open() {
+		if e.IsOpen() {
 			return e
 		}
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -138,7 +138,7 @@
 	require.Eventually(d.t, d.ready, 10*time.Second, 20*time.Millisecond)
 	require.Eventually(d.t, func() bool {
 		for _, e := range d.engines {
-			if e.Open() {
+			if e.IsOpen() {
 				return true
 			}
 		}
