--- a/soak/world.go
+++ b/soak/world.go
@@ -157,7 +157,7 @@
 	if service == "llm" {
 		live.config.Domain = "domain-" + zone
 	}
-	live.config.Front = func(address string) (string, error) {
+	live.config.RegisterAs = func(address string) (string, error) {
 		l, err := link.New(w.group, net.JoinHostPort(linkHost, "0"), address)
 		live.link = l
 		if err != nil {
