--- a/node/node_test.go
+++ b/node/node_test.go
@@ -85,7 +85,7 @@
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%100, 1+os.Getpid()/100%250, hosts.Add(1))
 	free := freeAddresses(t, host, 3)
 	d.settings = platformtest.NodeSettings{
-		Node: "n1", Zone: "a", Zones: []string{"a"}, Callers: free[0], Readiness: free[1], IP: host,
+		Node: "n1", Zone: "a", Zones: []string{"a"}, CallerAddress: free[0], Readiness: free[1], IP: host,
 		Internal: portOf(t, free[2]), Store: d.store.Address(),
 	}
 	d.path = filepath.Join(t.TempDir(), "node.conf")
@@ -157,7 +157,7 @@
 }
 
 func (d *deployment) ask(method, path, id string) (int, string) {
-	r, err := platformtest.NewRequest(context.Background(), method, d.settings.Callers, path, nil, platformtest.RequestInfo{
+	r, err := platformtest.NewRequest(context.Background(), method, d.settings.CallerAddress, path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Timeout: 5 * time.Second, Prompt: 100, Answer: 30,
 	})
 	require.NoError(d.t, err)
--- a/node/stop_answer_test.go
+++ b/node/stop_answer_test.go
@@ -22,7 +22,7 @@
 	d := deployWith(t, platformtest.EndpointConfig{Event: 10 * time.Millisecond, Events: answerEvents}, platformtest.EndpointConfig{Work: slowWork})
 	d.start()
 	d.waitOpen()
-	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, d.settings.Callers, "/book/x", nil, platformtest.RequestInfo{
+	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, d.settings.CallerAddress, "/book/x", nil, platformtest.RequestInfo{
 		ID: "under-way", Key: "key-1", Timeout: 5 * time.Second,
 	})
 	require.NoError(t, err)
--- a/node/stop_connections_test.go
+++ b/node/stop_connections_test.go
@@ -60,7 +60,7 @@
 
 func dialCallers(d *deployment) *callerConn {
 	d.t.Helper()
-	conn, err := net.Dial("tcp", d.settings.Callers)
+	conn, err := net.Dial("tcp", d.settings.CallerAddress)
 	require.NoError(d.t, err)
 	d.t.Cleanup(func() { _ = conn.Close() }) // it may be closed already
 	return &callerConn{d: d, conn: conn, reader: bufio.NewReader(conn)}
@@ -69,7 +69,7 @@
 // ask sends a request and reads the response, which must be complete and successful.
 func (c *callerConn) ask(path, id string) *http.Response {
 	c.d.t.Helper()
-	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, c.d.settings.Callers, path, nil, platformtest.RequestInfo{
+	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, c.d.settings.CallerAddress, path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Timeout: 6 * time.Second, Prompt: 100, Answer: longTokens,
 	})
 	require.NoError(c.d.t, err)
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -67,7 +67,7 @@
 }
 
 func (c *stopCaller) ask(ctx context.Context, id string) (status int, whole bool) {
-	r, err := platformtest.NewRequest(ctx, http.MethodPost, c.d.settings.Callers, c.path, nil, platformtest.RequestInfo{
+	r, err := platformtest.NewRequest(ctx, http.MethodPost, c.d.settings.CallerAddress, c.path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Timeout: 8 * time.Second, Prompt: 100, Answer: longTokens,
 	})
 	require.NoError(c.d.t, err)
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -150,7 +150,7 @@
 	if a.kind == "look" {
 		method = http.MethodGet
 	}
-	address := c.world.nodes[c.node].settings.Callers
+	address := c.world.nodes[c.node].settings.CallerAddress
 	r, err := platformtest.NewRequest(ctx, method, address, "/"+a.kind+"/x", nil, platformtest.RequestInfo{
 		ID: a.id, Key: key, Model: "m0", Timeout: callerPatience, Prompt: 100, Answer: answerTokens,
 	})
--- a/soak/connection.go
+++ b/soak/connection.go
@@ -30,7 +30,7 @@
 
 func connect(ctx context.Context, n *nodeProcess) (*connection, error) {
 	dialer := net.Dialer{Timeout: connectTimeout}
-	conn, err := dialer.DialContext(ctx, "tcp", n.settings.Callers)
+	conn, err := dialer.DialContext(ctx, "tcp", n.settings.CallerAddress)
 	if err != nil {
 		return nil, err
 	}
--- a/soak/session.go
+++ b/soak/session.go
@@ -113,7 +113,7 @@
 	if a.kind == "look" {
 		method = http.MethodGet
 	}
-	r, err := platformtest.NewRequest(ctx, method, s.conn.node.settings.Callers, "/"+a.kind+"/x", nil, platformtest.RequestInfo{
+	r, err := platformtest.NewRequest(ctx, method, s.conn.node.settings.CallerAddress, "/"+a.kind+"/x", nil, platformtest.RequestInfo{
 		ID: a.id, Key: stableKey, Model: "m0", Timeout: platformtest.RouteTimeout, Prompt: 100, Answer: a.events * longEventTokens,
 	})
 	if err != nil {
