--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -87,7 +87,7 @@
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%100, 1+os.Getpid()/100%250, hosts.Add(1))
 	free := freeAddresses(t, host, 3)
 	d.settings = platformtest.NodeSettings{
-		Node: name, Zone: zone, Zones: zones, CallerAddress: free[0], Readiness: free[1], IP: host,
+		Node: name, Zone: zone, Zones: zones, CallerAddress: free[0], ReadinessAddress: free[1], IP: host,
 		Internal: portOf(t, free[2]), Store: store.Address(),
 	}
 	d.path = filepath.Join(t.TempDir(), "node.conf")
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -85,7 +85,7 @@
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%100, 1+os.Getpid()/100%250, hosts.Add(1))
 	free := freeAddresses(t, host, 3)
 	d.settings = platformtest.NodeSettings{
-		Node: "n1", Zone: "a", Zones: []string{"a"}, CallerAddress: free[0], Readiness: free[1], IP: host,
+		Node: "n1", Zone: "a", Zones: []string{"a"}, CallerAddress: free[0], ReadinessAddress: free[1], IP: host,
 		Internal: portOf(t, free[2]), Store: d.store.Address(),
 	}
 	d.path = filepath.Join(t.TempDir(), "node.conf")
@@ -124,7 +124,7 @@
 }
 
 func (d *deployment) ready() bool {
-	answer, err := http.Get("http://" + d.settings.Readiness + platform.PathReadiness)
+	answer, err := http.Get("http://" + d.settings.ReadinessAddress + platform.PathReadiness)
 	if err != nil {
 		return false
 	}
--- a/soak/balancer.go
+++ b/soak/balancer.go
@@ -47,7 +47,7 @@
 }
 
 func (b *balancer) askReady(ctx context.Context, n *nodeProcess) bool {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.settings.Readiness+platform.PathReadiness, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.settings.ReadinessAddress+platform.PathReadiness, nil)
 	if err != nil {
 		return false
 	}
