--- a/cmd/node/main_test.go
+++ b/cmd/node/main_test.go
@@ -37,7 +37,7 @@
 		return path
 	}
 	good := write("good.conf", platformtest.NodeSettings{
-		Node: "n1", Zone: "a", Zones: []string{"a"}, CallerAddress: "127.0.0.1:1", ReadinessAddress: "127.0.0.1:2", FirstInternalPort: 3, Store: "127.0.0.1:4",
+		Node: "n1", Zone: "a", Zones: []string{"a"}, CallerAddress: "127.0.0.1:1", ReadinessAddress: "127.0.0.1:2", FirstInternalPort: 3, StoreAddress: "127.0.0.1:4",
 	}.Text())
 	bad := write("bad.conf", "node_name=n1\ninternal_ports=9\nbounds.drain_ms=soon\n")
 	for name, c := range map[string]struct {
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -88,7 +88,7 @@
 	free := freeAddresses(t, host, 3)
 	d.settings = platformtest.NodeSettings{
 		Node: name, Zone: zone, Zones: zones, CallerAddress: free[0], ReadinessAddress: free[1], IP: host,
-		FirstInternalPort: portOf(t, free[2]), Store: store.Address(),
+		FirstInternalPort: portOf(t, free[2]), StoreAddress: store.Address(),
 	}
 	d.path = filepath.Join(t.TempDir(), "node.conf")
 	require.NoError(t, os.WriteFile(d.path, []byte(d.settings.Text()), 0o600))
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -86,7 +86,7 @@
 	free := freeAddresses(t, host, 3)
 	d.settings = platformtest.NodeSettings{
 		Node: "n1", Zone: "a", Zones: []string{"a"}, CallerAddress: free[0], ReadinessAddress: free[1], IP: host,
-		FirstInternalPort: portOf(t, free[2]), Store: d.store.Address(),
+		FirstInternalPort: portOf(t, free[2]), StoreAddress: d.store.Address(),
 	}
 	d.path = filepath.Join(t.TempDir(), "node.conf")
 	require.NoError(t, os.WriteFile(d.path, []byte(d.settings.Text()), 0o600))
--- a/soak/world.go
+++ b/soak/world.go
@@ -179,7 +179,7 @@
 	host := fmt.Sprintf("%s%d", w.config.Host, i+1)
 	n := &nodeProcess{toStore: toStore, path: filepath.Join(w.config.Dir, fmt.Sprintf("node-%d.conf", i)), settings: platformtest.NodeSettings{
 		Node: fmt.Sprintf("node-%d", i), Zone: zones[i%len(zones)], Zones: zones, IP: host,
-		CallerAddress: net.JoinHostPort(host, "8300"), ReadinessAddress: net.JoinHostPort(host, "8301"), FirstInternalPort: 8310, Store: toStore.Address(),
+		CallerAddress: net.JoinHostPort(host, "8300"), ReadinessAddress: net.JoinHostPort(host, "8301"), FirstInternalPort: 8310, StoreAddress: toStore.Address(),
 	}}
 	if err := os.WriteFile(n.path, []byte(n.settings.Text()), 0o600); err != nil {
 		return err
