--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -20,7 +20,7 @@
 // Lender gives permits for endpoints that named a limit.
 type Lender interface {
 	// Permit asks for one request to an endpoint. ok is false if nobody gave an answer.
-	Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (permit balance.Permit, ok bool)
+	Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitReport) (permit balance.Permit, ok bool)
 }
 
 // withinLimits makes a choice until one is found that its endpoint's limit allows for.
@@ -43,7 +43,7 @@
 		if permit.Given {
 			return choice.WithPermit(true), nil
 		}
-		choice.Visit.Withdraw()
+		choice.Attempt.Cancel()
 		klog.InfoS("not_permitted", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID, "answered", ok, "wait", permit.Wait,
 			"per_second", permit.Limit.Limit.PerSecond, "limit_age", permit.Limit.Age)
 		g.Metrics.NotPermitted()
@@ -58,16 +58,16 @@
 	known := g.Tracker.Limit(time.Now(), id)
 	permit, ok := balance.Permit{}, true
 	if g.Lender == nil {
-		permit = g.Tracker.Lend(time.Now(), known, wholeLimit)
+		permit = g.Tracker.IssuePermit(time.Now(), known, wholeLimit)
 	} else {
 		permit, ok = g.Lender.Permit(ctx, choice.Endpoint, known)
 	}
 	now := time.Now()
 	if ok {
-		g.Tracker.LearnLimits(now, []balance.LimitWord{permit.Limit})
+		g.Tracker.MergeLimits(now, []balance.LimitReport{permit.Limit})
 	}
 	if !permit.Given {
-		g.Tracker.NotPermitted(now, id, permit.Wait)
+		g.Tracker.RecordPermitDenied(now, id, permit.Wait)
 	}
 	return permit, ok
 }
@@ -79,7 +79,7 @@
 		return
 	}
 	limit := answer.Verdict.Limit
-	before, changed := choice.Visit.Limited(time.Now(), limit, !answer.Verdict.NotRun)
+	before, changed := choice.Attempt.RecordLimit(time.Now(), limit, !answer.Verdict.NotRun)
 	if !changed {
 		return
 	}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -91,9 +91,9 @@
 }
 
 // choosePlain chooses the endpoint of a plain service.
-func (g *Gateway) choosePlain(ctx context.Context, r *Request, ask balance.Ask) (balance.Choice, *balance.Refusal) {
+func (g *Gateway) choosePlain(ctx context.Context, r *Request, ask balance.Request) (balance.Choice, *balance.Refusal) {
 	return g.withinLimits(ctx, r, func(now time.Time) (balance.Choice, *balance.Refusal) {
-		return g.Tracker.Plain(now, r.view.ByService[r.Service.Name], r.view.ZonesOut, ask)
+		return g.Tracker.ChoosePlain(now, r.view.ByService[r.Service.Name], r.view.ZonesOut, ask)
 	})
 }
 
@@ -166,18 +166,18 @@
 func (c *plainCall) note(choice balance.Choice, last try) {
 	now := time.Now()
 	if last.err != nil {
-		choice.Visit.Done(now, false)
+		choice.Attempt.Done(now, false)
 		klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
 			"kind", redwinghall.KindOf[Kind](last.err), "running", choice.Running, "err", last.err)
 		return
 	}
 	load := last.answer.Verdict.Load
 	if load.Known {
-		choice.Visit.Told(now, load.Running+load.Waiting)
+		choice.Attempt.RecordLoad(now, load.Running+load.Waiting)
 	}
-	choice.Visit.Done(now, !last.notRun && last.answer.Status < http.StatusInternalServerError)
+	choice.Attempt.Done(now, !last.notRun && last.answer.Status < http.StatusInternalServerError)
 	if last.answer.Status == http.StatusMisdirectedRequest {
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	}
 	klog.InfoS("answered", "request", c.r.Ask.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "status", last.answer.Status,
 		"not_run", last.notRun, "running", choice.Running, "load_age", choice.Age, "attempts", c.sent, "took", now.Sub(c.r.Arrived),
@@ -196,10 +196,10 @@
 // failed ends a visit that brought no answer.
 func (c *plainCall) failed(choice balance.Choice, err error) try {
 	now := time.Now()
-	choice.Visit.Done(now, false)
+	choice.Attempt.Done(now, false)
 	if redwinghall.KindOf[Kind](err) == NotSent {
 		c.dials++
-		c.g.Tracker.Unreachable(now, choice.Endpoint.ID)
+		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	} else {
 		c.sent++
 	}
--- a/measure/snapshot.go
+++ b/measure/snapshot.go
@@ -52,7 +52,7 @@
 func (w world) board(now time.Time) (*route.Selector, *peer.Store) {
 	store := w.store()
 	b := route.NewSelector(route.SelectorConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
-		Ramp: ramp.Owned{}, Picker: route.TwoChoices{}})
+		Ramp: ramp.SingleOwner{}, Picker: route.TwoChoices{}})
 	b.Rebuild(store)
 	book := peer.NewHealthCache()
 	for i := range w.groups {
--- a/node/placement.go
+++ b/node/placement.go
@@ -95,15 +95,15 @@
 	}
 	for _, id := range request.InBackoff {
 		tried[id] = true
-		n.tracker.Complain(now, id, request.Node)
+		n.tracker.RecordFailureReport(now, id, request.Node)
 	}
 	heads := view.Heads(request.Service, request.Model)
-	ask := balance.Ask{
+	ask := balance.Request{
 		Service: service, Model: model, Zone: n.settings.Zone, Prompt: request.Prompt, Objective: request.Objective, Tried: tried,
-		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), Dispatches: n.dispatches(now), GoesOn: request.Resumed,
-		Lends: n.permitShare(n.settings.Zone),
+		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), IsDispatcher: n.dispatches(now), Resumed: request.Resumed,
+		PermitShare: n.permitShare(n.settings.Zone),
 	}
-	choice, none := n.tracker.Reserve(now, heads, view.ZonesOut, ask, balance.Claimant{Node: request.Node, Ticket: request.Ticket})
+	choice, none := n.tracker.Reserve(now, heads, view.ZonesOut, ask, balance.Requester{Node: request.Node, Ticket: request.Ticket})
 	if none == nil {
 		return fleet.Placement{Endpoint: choice.Endpoint.ID, Predicted: choice.Predicted, Permitted: choice.Permitted}, true
 	}
@@ -112,7 +112,7 @@
 		placement.LimitedFor = none.RetryAfter
 	}
 	if request.Ticket > 0 { // otherwise the request is from another zone, whose node asks the other zones itself
-		placement.AlternativeZone = n.tracker.Elsewhere(now, heads, view.ZonesOut, ask)
+		placement.AlternativeZone = n.tracker.AlternativeZone(now, heads, view.ZonesOut, ask)
 	}
 	return placement, true
 }
