--- /dev/null
+++ b/formation/fakezone_test.go
@@ -0,0 +1,512 @@
+package formation_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"redwinghall"
+	"redwinghall/directory"
+	"redwinghall/fleet"
+	"redwinghall/platform"
+)
+
+// fakeZone simulates the endpoints of one zone in virtual time. They carry out orders
+// and publish their state in entries after a lag. It also checks the invariants of
+// groups.
+type fakeZone struct {
+	mu            sync.Mutex
+	cache         *directory.Cache
+	workers       map[string]*fakeEndpoint
+	ready         map[string]map[string]bool // endpoints that were ever ready, by group
+	violations    []string                   // violated invariants
+	doubleMembers []string                   // those in which a VM was in two groups
+	joins         int                        // accepted join orders
+	left          int                        // accepted leave orders
+	loads         int
+	reports       int   // requested reports
+	leases        int64 // acquired leases
+	random        *rand.Rand
+	// lossRate is the share of orders that get no answer and are carried out late.
+	lossRate float64
+	// repeatRate is the share of orders that are carried out a second time, late.
+	repeatRate float64
+	// stored holds the entries in the store, version is the store's newest version, and
+	// followers are the nodes' copies, which lag behind.
+	stored    map[string]*fleet.Endpoint
+	version   int64
+	followers []*follower
+	// replacedBy maps ended endpoints to the one that now has their address.
+	replacedBy map[string]string
+	// refuseOpen makes endpoints refuse orders to open.
+	refuseOpen bool
+	// lag is how long a change takes to show in an entry.
+	lag time.Duration
+	// engine is what the endpoints run, and staged counts the models that were staged
+	// while serving.
+	engine *fleet.Engine
+	staged int
+}
+
+type fakeEndpoint struct {
+	fleet.Endpoint
+	dead, unresponsive bool            // the process ended; requests to it time out
+	unlisted           bool            // its entry is missing, but it keeps serving
+	notListening       bool            // it stopped listening and finishes its requests
+	ignores            fleet.OrderKind // orders of this kind are lost
+	slow               float64
+	last               string // model of its last group
+	members            []string
+	highest            int64
+	gen                int
+	opening            bool // accepted an order to open, but isn't open yet
+}
+
+const testService = "llm"
+
+// entryTTL is how long an entry outlives its endpoint's last heartbeat.
+const entryTTL = 3600 * time.Millisecond
+
+func defaultEngine() *fleet.Engine {
+	return &fleet.Engine{
+		Slots: 26, Stride: 6, LoadsPerSecond: 5.5, LoadsAtOnce: 8, FormationTime: 300 * time.Millisecond,
+		Models: []fleet.Model{
+			{Name: "large", Size: 6, Share: 0.67, TimeFactor: 1, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
+			{Name: "small", Size: 3, Share: 0.33, TimeFactor: 0.6, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+		},
+	}
+}
+
+func newFakeZone(seed uint64, domains, size int) *fakeZone {
+	return newFakeZoneWith(defaultEngine(), seed, domains, size)
+}
+
+// newFakeZoneWith returns a fake zone whose endpoints run the given engine.
+func newFakeZoneWith(engine *fleet.Engine, seed uint64, domains, size int) *fakeZone {
+	f := &fakeZone{
+		engine: engine,
+		cache:  directory.NewCache(), workers: map[string]*fakeEndpoint{}, ready: map[string]map[string]bool{}, replacedBy: map[string]string{},
+		random: rand.New(rand.NewPCG(seed, 1)), lag: 150 * time.Millisecond,
+		stored: map[string]*fleet.Endpoint{},
+	}
+	f.followers = []*follower{{cache: f.cache}}
+	f.cache.Apply(time.Now(), directory.Change{Config: &fleet.Configuration{
+		Version: 1, Services: map[string]fleet.Service{testService: {Name: testService, Engine: engine}},
+	}})
+	for d := range domains {
+		for i := range size {
+			f.add(fmt.Sprintf("d%d-%02d", d, i), fmt.Sprintf("d%d", d))
+		}
+	}
+	return f
+}
+
+func (f *fakeZone) add(id, domain string) {
+	w := &fakeEndpoint{Endpoint: fleet.Endpoint{
+		ID: id, Service: testService, Address: id + ":80", Zone: "z", State: fleet.EndpointReady, Domain: domain, StartedMillis: 1,
+	}}
+	f.workers[id] = w
+	time.AfterFunc(f.lag, func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.publishEntry(w)
+	})
+}
+
+// publishEntry writes an endpoint's present state to its entry, visible after the lag.
+func (f *fakeZone) publishEntry(w *fakeEndpoint) {
+	w.gen++
+	entry := w.Endpoint
+	entry.Revision = int64(w.gen)
+	entry.Staged = append([]string(nil), w.Staged...)
+	entry.Models = append([]string(nil), w.Models...)
+	if w.unlisted || w.unresponsive || w.dead {
+		return
+	}
+	f.stored[w.ID] = &entry
+	f.write(directory.Change{Endpoint: &entry})
+}
+
+// write changes the store. All followers receive the changes in order.
+func (f *fakeZone) write(changes ...directory.Change) {
+	f.version++
+	version := f.version
+	for _, c := range f.followers {
+		if due := time.Now().Add(f.lag + c.extraLag); due.After(c.due) {
+			c.due = due
+		}
+		time.AfterFunc(time.Until(c.due), func() {
+			c.cache.Apply(time.Now(), changes...)
+			c.cache.NoteRead(fleet.Position{Version: version})
+		})
+	}
+}
+
+// follower is a node's copy of the entries, which lags behind the store.
+type follower struct {
+	cache *directory.Cache
+	due   time.Time // when the last change in flight arrives
+	// extraLag is the delay on top of a lease holder's.
+	extraLag time.Duration
+}
+
+// follow returns a follower that starts with the present entries.
+func (f *fakeZone) follow(behind time.Duration) *follower {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := time.Now()
+	c := &follower{cache: directory.NewCache(), extraLag: behind}
+	c.cache.Apply(now, directory.Change{Config: f.cache.View().Config()})
+	for _, e := range f.stored {
+		c.cache.Apply(now, directory.Change{Endpoint: e})
+	}
+	c.cache.NoteRead(fleet.Position{Version: f.version})
+	f.followers = append(f.followers, c)
+	return c
+}
+
+// removeEntry deletes an endpoint's entry after a delay, as the store does after three
+// missed heartbeats.
+func (f *fakeZone) removeEntry(id string, after time.Duration) {
+	time.AfterFunc(after, func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		delete(f.stored, id)
+		f.write(directory.Change{Gone: id})
+	})
+}
+
+// isolate partitions an endpoint from every client and node for a while. It keeps
+// serving, and its entry expires if the partition lasts long enough.
+func (f *fakeZone) isolate(id string, lasts time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	w := f.workers[id]
+	w.unresponsive = true
+	if lasts > entryTTL {
+		f.removeEntry(id, entryTTL)
+	}
+	time.AfterFunc(lasts, func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		if !w.dead {
+			w.unresponsive = false
+			f.publishEntry(w)
+		}
+	})
+}
+
+// kill ends an endpoint's process. Requests to its address time out if unresponsive is
+// set, else connections are refused.
+func (f *fakeZone) kill(id string, unresponsive bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.workers[id].dead, f.workers[id].unresponsive, f.workers[id].notListening = true, unresponsive, false
+	f.removeEntry(id, entryTTL)
+}
+
+// cutFromStore partitions an endpoint from the store only: its entry expires while it
+// keeps serving.
+func (f *fakeZone) cutFromStore(id string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.workers[id].unlisted = true
+	f.removeEntry(id, 3600*time.Millisecond)
+}
+
+// stopListening makes an endpoint leave during a store outage: it stops listening and
+// finishes its requests, and its entry stays unchanged.
+func (f *fakeZone) stopListening(id string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.workers[id].notListening = true
+}
+
+var errUnreachable = errors.New("endpoint unreachable")
+
+func (f *fakeZone) reach(e *fleet.Endpoint) (*fakeEndpoint, error) {
+	id := e.ID
+	if next, ok := f.replacedBy[id]; ok {
+		id = next
+	}
+	w, ok := f.workers[id]
+	switch {
+	case !ok || w.notListening || (w.dead && !w.unresponsive):
+		return nil, redwinghall.NewOpError("fakeZone.reach", platform.Absent, errUnreachable)
+	case w.unresponsive:
+		return nil, redwinghall.NewOpError("fakeZone.reach", platform.NoAnswer, errUnreachable)
+	}
+	return w, nil
+}
+
+// Order implements fleet.Orderer.
+func (f *fakeZone) Order(_ context.Context, e *fleet.Endpoint, o fleet.Order) (fleet.Outcome, error) {
+	time.Sleep(3 * time.Millisecond)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	w, err := f.reach(e)
+	switch {
+	case redwinghall.KindOf[platform.Kind](err) == platform.NoAnswer:
+		return fleet.Unanswered, err
+	case err != nil:
+		return fleet.Refused, err
+	case o.Kind == w.ignores:
+		return fleet.Unanswered, redwinghall.NewOpError("fakeZone.Order", platform.NoAnswer, errUnreachable)
+	}
+	if f.random.Float64() < f.lossRate {
+		f.carryOutLate(w, o)
+		return fleet.Unanswered, redwinghall.NewOpError("fakeZone.Order", platform.NoAnswer, errUnreachable)
+	}
+	if f.repeatRate > 0 && f.random.Float64() < f.repeatRate {
+		f.carryOutLate(w, o)
+	}
+	if o.Kind == fleet.OrderJoin && w.Member.Group == o.Group && w.Member.Epoch == o.Epoch {
+		return fleet.Done, nil
+	}
+	if f.carryOut(w, o) {
+		if o.Kind == fleet.OrderOpen {
+			return fleet.Done, nil
+		}
+		return fleet.Begun, nil
+	}
+	return fleet.Refused, redwinghall.NewOpError("fakeZone.Order", platform.NoAnswer, errUnreachable)
+}
+
+// carryOutLate makes an endpoint's process carry an order out 2 to 12 s later.
+func (f *fakeZone) carryOutLate(w *fakeEndpoint, o fleet.Order) {
+	late, startedMillis := 2*time.Second+time.Duration(f.random.Float64()*10*float64(time.Second)), w.StartedMillis
+	time.AfterFunc(late, func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		if !w.dead && w.StartedMillis == startedMillis {
+			f.carryOut(w, o)
+		}
+	})
+}
+
+func (f *fakeZone) carryOut(w *fakeEndpoint, o fleet.Order) bool {
+	switch o.Kind {
+	case fleet.OrderJoin:
+		return f.join(w, o)
+	case fleet.OrderStage:
+		return f.stage(w, o)
+	}
+	if w.Member.Group != o.Group || w.Member.Epoch != o.Epoch {
+		return false
+	}
+	done := false
+	switch o.Kind {
+	case fleet.OrderOpen:
+		done = f.open(w)
+	case fleet.OrderClose:
+		done = w.Member.State == fleet.Open || w.Member.State == fleet.Closing || w.opening
+		w.opening = false
+		if done {
+			w.Member.State = fleet.Ready
+		}
+	case fleet.OrderLeave:
+		w.Member, w.members, w.opening, done = fleet.Membership{}, nil, false, true
+		f.left++
+	case fleet.OrderJoin, fleet.OrderStage:
+	}
+	if done {
+		f.publishEntry(w)
+	}
+	return done
+}
+
+func (f *fakeZone) open(w *fakeEndpoint) bool {
+	if f.refuseOpen || w.Member.Rank != 0 || w.Member.State != fleet.Ready {
+		return false
+	}
+	f.checkMembersReady(w)
+	w.opening = true
+	group := w.Member.Group
+	time.AfterFunc(f.engine.FormationTime, func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		if w.opening && w.Member.Group == group && !w.dead {
+			w.Member.State, w.opening = fleet.Open, false
+			f.publishEntry(w)
+		}
+	})
+	return true
+}
+
+// replace ends an endpoint whose address then times out; later another one starts at
+// that address.
+func (f *fakeZone) replace(id, by string) {
+	f.kill(id, true)
+	time.AfterFunc(5*time.Second, func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		old := f.workers[id]
+		f.add(by, old.Domain)
+		f.workers[by].Address = old.Address
+		f.workers[by].Staged = old.Staged
+		f.replacedBy[id] = by
+	})
+}
+
+// restart restarts an endpoint's process under its id, without its previous state. Its
+// entry stays unchanged for now.
+func (f *fakeZone) restart(id string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	w := f.workers[id]
+	for _, ready := range f.ready {
+		delete(ready, id)
+	}
+	w.StartedMillis++
+	w.Member, w.members, w.Models, w.last, w.opening = fleet.Membership{}, nil, nil, "", false
+	w.highest = 0
+}
+
+func (f *fakeZone) join(w *fakeEndpoint, o fleet.Order) bool {
+	if o.Epoch < w.highest {
+		return false
+	}
+	if w.Member.Group == o.Group && w.Member.Epoch == o.Epoch {
+		return true // already a member
+	}
+	f.checkOldHead(w, o)
+	f.joins++
+	w.highest = o.Epoch
+	model, _ := f.engine.Model(o.Model)
+	took := model.Load
+	switch {
+	case w.last == o.Model:
+		took = 200 * time.Millisecond
+	case w.HasStaged(o.Model):
+		took = model.Warm
+	default:
+		f.loads++
+	}
+	w.Member, w.opening = fleet.Membership{Group: o.Group, Epoch: o.Epoch, State: fleet.Joining}, false
+	for rank, id := range o.Members {
+		if id == w.ID {
+			w.Member.Rank = rank
+		}
+	}
+	w.members, w.last = o.Members, o.Model
+	w.Models = nil
+	f.publishEntry(w)
+	time.AfterFunc(took, func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		if w.Member.Group == o.Group && w.Member.State == fleet.Joining && !w.dead {
+			w.Member.State = fleet.Ready
+			f.noteReady(o.Group, w.ID)
+			w.Models, w.Staged = []string{o.Model}, []string{o.Model}
+			f.publishEntry(w)
+		}
+	})
+	return true
+}
+
+// stage makes an endpoint stage a model in host memory while it serves.
+func (f *fakeZone) stage(w *fakeEndpoint, o fleet.Order) bool {
+	model, known := f.engine.Model(o.Model)
+	if !known || o.Group != "" || o.Epoch != 0 {
+		return false
+	}
+	f.staged++
+	startedMillis := w.StartedMillis
+	time.AfterFunc(model.Load, func() {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		if !w.dead && w.StartedMillis == startedMillis {
+			w.Staged = []string{o.Model}
+			f.publishEntry(w)
+		}
+	})
+	return true
+}
+
+func (f *fakeZone) noteReady(group, id string) {
+	if f.ready[group] == nil {
+		f.ready[group] = map[string]bool{}
+	}
+	f.ready[group][id] = true
+}
+
+// checkMembersReady records a violation if a group opens with a member that was never
+// ready in it. One that was ready and has left since may have been removed by a late
+// order.
+func (f *fakeZone) checkMembersReady(head *fakeEndpoint) {
+	for _, id := range head.members {
+		if !f.ready[head.Member.Group][id] {
+			f.violations = append(f.violations, fmt.Sprintf("%s opened while %s was never ready", head.Member.Group, id))
+		}
+	}
+}
+
+// checkOldHead records a violation if a member joins another group while the head of
+// its old one is open.
+func (f *fakeZone) checkOldHead(w *fakeEndpoint, o fleet.Order) {
+	if w.Member.Group == "" || w.Member.Group == o.Group || len(w.members) < 2 {
+		return
+	}
+	head := f.workers[w.members[0]]
+	if head != nil && !head.dead && head.Member.Group == w.Member.Group && (head.Member.State == fleet.Open || head.opening) {
+		violation := fmt.Sprintf("%s joined %s while %s was open", w.ID, o.Group, w.Member.Group)
+		f.violations, f.doubleMembers = append(f.violations, violation), append(f.doubleMembers, violation)
+	}
+}
+
+// Report implements fleet.Orderer.
+func (f *fakeZone) Report(_ context.Context, e *fleet.Endpoint) (fleet.Report, error) {
+	time.Sleep(2 * time.Millisecond)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.reports++
+	w, err := f.reach(e)
+	if err != nil {
+		return fleet.Report{}, err
+	}
+	return fleet.Report{Member: w.Member, Models: w.Models, Staged: w.Staged, TimeFactor: max(1, w.slow), StartedMillis: w.StartedMillis}, nil
+}
+
+// Healthy implements fleet.Orderer.
+func (f *fakeZone) Healthy(_ context.Context, e *fleet.Endpoint, _ string) (bool, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	w, err := f.reach(e)
+	if err != nil {
+		return false, err
+	}
+	return w.State == fleet.EndpointReady, nil
+}
+
+// servingHeads returns the heads of the open groups of a model whose members are all
+// alive.
+func (f *fakeZone) servingHeads(model string) []*fakeEndpoint {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var heads []*fakeEndpoint
+	for _, w := range f.workers {
+		if w.dead || w.Member.State != fleet.Open || len(w.Models) == 0 || w.Models[0] != model {
+			continue
+		}
+		alive := true
+		for _, id := range w.members {
+			m := f.workers[id]
+			alive = alive && !m.dead && m.Member.Group == w.Member.Group
+		}
+		if alive {
+			heads = append(heads, w)
+		}
+	}
+	return heads
+}
+
+// drain makes an endpoint announce that it is leaving.
+func (f *fakeZone) drain(id string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.workers[id].State = fleet.EndpointDraining
+	f.publishEntry(f.workers[id])
+}
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -11,119 +11,122 @@
 	"redwinghall/kernel"
 )
 
-// Times of the manager.
+// Timing of the manager.
 const (
-	tick = 100 * time.Millisecond
-	// suspectFor is how long an endpoint that didn't answer stays out of groups.
-	suspectFor = 4 * time.Second
-	// overlayFor is how long an order counts as carried out before its effect
-	// shows in the endpoint's entry.
-	overlayFor = 2 * time.Second
-	// slowPace is the pace from which a member counts as slow: it makes a whole
-	// group late. It counts so for slowFor, and is asked again then.
-	slowPace = 1.7
-	slowFor  = 10 * time.Second
-	// settleTime is how long the endpoints of a zone must be the same before its
-	// first groups are formed: groups of the first few would leave no domain for
-	// the large models. settleBound is the longest wait: groups must be open when
-	// the first requests come.
-	settleTime  = 500 * time.Millisecond
-	settleBound = 6 * time.Second
-	// lateOrders is how long after it was given an order without an answer may
-	// still be carried out.
-	lateOrders = 14 * time.Second
-	// probeAgain spaces questions to an endpoint that doesn't answer.
-	probeAgain = 500 * time.Millisecond
+	planInterval = 100 * time.Millisecond
+	// suspectDuration is how long an endpoint that didn't answer is kept out of groups.
+	suspectDuration = 4 * time.Second
+	// overlayTimeout is how long an order is assumed to be carried out before its
+	// effect shows in the endpoint's entry.
+	overlayTimeout = 2 * time.Second
+	// slowTimeFactor is the time factor from which a member counts as slow: it delays
+	// its whole group. It counts as slow for slowDuration and is then probed again.
+	slowTimeFactor = 1.7
+	slowDuration   = 10 * time.Second
+	// settleTime is how long the set of endpoints of a zone must stay unchanged before
+	// its first groups are formed: groups of the first few endpoints would leave no
+	// domain for the large models. maxSettleTime is the longest wait, because groups
+	// must be open when the first requests arrive.
+	settleTime    = 500 * time.Millisecond
+	maxSettleTime = 6 * time.Second
+	// lateOrderWindow is how long after it was sent an unanswered order may still be
+	// carried out.
+	lateOrderWindow = 14 * time.Second
+	// probeInterval is the minimum time between probes of an endpoint that doesn't
+	// answer.
+	probeInterval = 500 * time.Millisecond
 )
 
-// Options are the parts that a manager works with.
+// Options are the dependencies of a manager.
 type Options struct {
 	// Settings returns the settings in force.
 	Settings func() fleet.Settings
-	Book     *directory.Cache
+	Cache    *directory.Cache
 	Orderer  fleet.Orderer
-	// Holds reports whether this node may form the groups of a zone now, and
-	// HeldFrom at which position of the store it took the zone's lease.
-	Holds    func(zone string) bool
-	HeldFrom func(zone string) fleet.Position
-	// Settled reports whether what the store lost before an era of it has been written
-	// again.
-	Settled func(era int64) bool
-	// Position returns the newest position of the store that this node knows.
+	// HoldsLease reports whether this node may form the groups of a zone now, and
+	// LeasePosition returns the store position at which it acquired the zone's lease.
+	HoldsLease    func(zone string) bool
+	LeasePosition func(zone string) fleet.Position
+	// Recovered reports whether the entries that the store lost before an era have been
+	// written again.
+	Recovered func(era int64) bool
+	// Position returns the newest store position that this node knows.
 	Position func() fleet.Position
-	// Begun reports whether requests have come yet.
-	Begun func() bool
-	// Moves reports whether this node saw a stream of an endpoint advance lately.
-	Moves func(now time.Time, endpointID string) bool
-	// Running returns how many requests a head has, as far as this node knows.
+	// TrafficStarted reports whether any request has arrived yet.
+	TrafficStarted func() bool
+	// Progressing reports whether this node recently saw a stream of an endpoint
+	// advance.
+	Progressing func(now time.Time, endpointID string) bool
+	// Running returns how many requests a head has in progress, as far as this node
+	// knows.
 	Running func(now time.Time, endpointID string) int
 }
 
 // Manager forms the groups of the zones whose lease this node holds.
 type Manager struct {
 	Options
-	mu       sync.Mutex
-	notes    map[string]*note
-	groups   map[string]*groupNote
-	epoch    int64
-	loads    map[string]*loadBudget // by zone
-	arrivals map[string]*arrival    // by zone
-	demands  map[string]*demand     // by zone
-	sending  map[string]bool        // endpoints with an order on its way
-	probing  map[string]bool
-	pending  atomic.Bool
-	stopped  bool
-	group    *kernel.Group
+	mu            sync.Mutex
+	endpoints     map[string]*endpointState
+	groups        map[string]*groupState
+	epoch         int64
+	loadBudgets   map[string]*loadBudget   // by zone
+	registrations map[string]*registration // by zone
+	demands       map[string]*demand       // by zone
+	sending       map[string]bool          // endpoints with an order in flight
+	probing       map[string]bool
+	pending       atomic.Bool
+	stopped       bool
+	group         *kernel.Group
 }
 
-// note is what the manager remembers of an endpoint between plans.
-type note struct {
-	worker   Worker
-	born     int64
-	suspect  time.Time // until when
-	slow     time.Time // until when
-	overlay  fleet.Membership
-	overlaid time.Time
-	shown    fleet.Membership
-	seenAt   time.Time
-	probedAt time.Time
-	unlisted unlisted
-	// late is the group of the last order to join that got no answer, and
-	// lateUntil is until when that may be carried out.
-	late      string
-	lateUntil time.Time
+// endpointState is what the manager keeps about an endpoint between plans.
+type endpointState struct {
+	worker        Worker
+	startedMillis int64
+	suspectUntil  time.Time // until when
+	slowUntil     time.Time // until when
+	overlay       fleet.Membership
+	overlaidAt    time.Time
+	reported      fleet.Membership
+	seenAt        time.Time
+	probedAt      time.Time
+	unlisted      unlisted
+	// unansweredJoin is the group of the last join order that got no answer, and
+	// unansweredJoinUntil is until when that order may still be carried out.
+	unansweredJoin      string
+	unansweredJoinUntil time.Time
 }
 
-// arrival follows how the endpoints of a zone register at the start.
-type arrival struct {
+// registration tracks how the endpoints of a zone register at startup.
+type registration struct {
 	count   int
 	first   time.Time
 	changed time.Time
 }
 
-// NewManager returns a manager that has seen nothing.
+// NewManager returns a manager that knows no endpoints yet.
 func NewManager(options Options) *Manager {
 	return &Manager{
-		Options: options, notes: map[string]*note{}, groups: map[string]*groupNote{},
-		loads: map[string]*loadBudget{}, arrivals: map[string]*arrival{}, demands: map[string]*demand{}, sending: map[string]bool{}, probing: map[string]bool{},
+		Options: options, endpoints: map[string]*endpointState{}, groups: map[string]*groupState{},
+		loadBudgets: map[string]*loadBudget{}, registrations: map[string]*registration{}, demands: map[string]*demand{}, sending: map[string]bool{}, probing: map[string]bool{},
 	}
 }
 
-// Pending reports whether this node waits for endpoints to carry out orders that
-// take moments.
+// Pending reports whether this node waits for endpoints to carry out orders that take
+// only moments.
 func (m *Manager) Pending() bool { return m.pending.Load() }
 
-// Stop ends planning; orders on their way are not called back.
+// Stop ends planning; orders in flight are not cancelled.
 func (m *Manager) Stop() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stopped = true
 }
 
-// Start plans until the group stops.
+// Start runs the planning loop until the kernel group stops.
 func (m *Manager) Start(g *kernel.Group) {
 	m.group = g
-	g.Every("formation", tick, m.step)
+	g.Every("formation", planInterval, m.step)
 }
 
 func (m *Manager) step(ctx context.Context, now time.Time) {
@@ -133,11 +136,11 @@
 		m.pending.Store(false)
 		return
 	}
-	m.forget(now)
+	m.pruneGroups(now)
 	pending := false
 	for _, zone := range m.Settings().Zones {
-		if !m.Holds(zone) {
-			delete(m.loads, zone)
+		if !m.HoldsLease(zone) {
+			delete(m.loadBudgets, zone)
 			delete(m.demands, zone)
 			continue
 		}
@@ -150,11 +153,11 @@
 	m.pending.Store(pending)
 }
 
-// planServices plans the groups of a zone's engine services by the newest view: one that was
-// taken before caughtUp may be older than what that found. It reports whether something is
-// under way.
+// planServices plans the groups of a zone's engine services from the newest view: a
+// view taken before caughtUp may be older than the position that caughtUp checked. It
+// reports whether any change is in progress.
 func (m *Manager) planServices(ctx context.Context, now time.Time, zone string) bool {
-	view := m.Book.View()
+	view := m.Cache.View()
 	config := view.Config()
 	if config == nil {
 		return false
@@ -168,44 +171,44 @@
 	return pending
 }
 
-// caughtUp reports whether this node has read the endpoints' entries as they
-// were when it took a zone's lease.
+// caughtUp reports whether this node has read the endpoints' entries as of the time it
+// acquired a zone's lease.
 //
-// Guard: the last holder opens a group on its members' entries and may stop
-// right after. Who takes the lease with an older copy of the entries sees the
-// members without a group and joins them to others while they serve. So do entries of a
-// store that has just come back older.
+// The last holder opens a group based on its members' entries and may stop right
+// afterwards. A new holder with an older copy of the entries would see those members
+// without a group and join them to other groups while they serve. The same holds for
+// entries of a store that was just restored to an older state.
 func (m *Manager) caughtUp(zone string) bool {
-	read := m.Book.Read()
-	return !read.Before(m.HeldFrom(zone)) && m.Settled(read.Era)
+	read := m.Cache.Read()
+	return !read.Before(m.LeasePosition(zone)) && m.Recovered(read.Era)
 }
 
-// planZone plans one zone's groups and sends the orders. It reports whether
-// something is under way.
+// planZone plans one zone's groups and sends the orders. It reports whether any change
+// is in progress.
 func (m *Manager) planZone(ctx context.Context, now time.Time, zone string, service fleet.Service, endpoints []*fleet.Endpoint) bool {
 	engine := service.Engine
-	z := &Zone{Past: m.past, Moves: func(id string) bool { return m.Moves(now, id) }, Engine: engine, Fresh: m.Settings().FirstStart && !m.Begun(), NextEpoch: m.nextEpoch}
+	z := &Zone{History: m.history, Progressing: func(id string) bool { return m.Progressing(now, id) }, Engine: engine, Startup: m.Settings().FirstStart && !m.TrafficStarted(), NextEpoch: m.nextEpoch}
 	pending := false
 	for _, e := range endpoints {
 		if e.Zone != zone {
 			continue
 		}
-		w := m.noted(now, e)
+		w := m.trackEndpoint(now, e)
 		z.Workers = append(z.Workers, w)
 		m.epoch = max(m.epoch, w.Member.Epoch, e.Member.Epoch)
-		pending = pending || w.awaited()
+		pending = pending || w.changePending()
 	}
-	if z.Fresh && !m.settled(now, zone, len(z.Workers)) {
+	if z.Startup && !m.registrationSettled(now, zone, len(z.Workers)) {
 		return true
 	}
 	m.addUnlisted(ctx, now, z, zone, service.Name, service.HealthPath)
 	m.markFree(now, z.Workers)
-	budget := m.budgetOf(zone, engine)
-	z.Loads, z.StageAtOnce = budget.left(now), max(1, engine.LoadsAtOnce/max(1, len(m.Settings().Zones)))
-	z.Demand = m.followDemand(now, z, zone)
+	budget := m.loadBudgetFor(zone, engine)
+	z.Loads, z.StageAtOnce = budget.available(now), max(1, engine.LoadsAtOnce/max(1, len(m.Settings().Zones)))
+	z.Demand = m.updateDemand(now, z, zone)
 	steps := z.Plan(now)
 	for _, s := range steps {
-		if s.Loads && !z.Fresh {
+		if s.Loads && !z.Startup {
 			budget.spend()
 		}
 		m.send(ctx, now, s)
@@ -213,39 +216,40 @@
 	return pending || len(steps) > 0
 }
 
-// settled reports whether a zone's endpoints have all registered, as far as can be told.
-func (m *Manager) settled(now time.Time, zone string, count int) bool {
-	a, ok := m.arrivals[zone]
+// registrationSettled reports whether a zone's endpoints have all registered, as far as
+// can be told.
+func (m *Manager) registrationSettled(now time.Time, zone string, count int) bool {
+	a, ok := m.registrations[zone]
 	if !ok {
-		a = &arrival{first: now}
-		m.arrivals[zone] = a
+		a = &registration{first: now}
+		m.registrations[zone] = a
 	}
 	if a.count != count {
 		a.count, a.changed = count, now
 	}
-	return count > 0 && (now.Sub(a.changed) >= settleTime || now.Sub(a.first) >= settleBound)
+	return count > 0 && (now.Sub(a.changed) >= settleTime || now.Sub(a.first) >= maxSettleTime)
 }
 
 const (
-	// epochBits leaves each version of the store room for 4,096 epochs.
+	// epochBits leaves room for 4,096 epochs for each version of the store.
 	epochBits = 12
-	// eraBits leaves each era of the store room for 2^28 versions.
+	// eraBits leaves room for 2^28 versions in each era of the store.
 	eraBits = 40
 )
 
-// nextEpoch returns an epoch that is higher than all before.
+// nextEpoch returns an epoch higher than all earlier ones.
 //
-// Guard: orders of an earlier holder may be carried out late. Its epochs stem
-// from positions of the store before this holder took the lease, so they are
-// lower, and a VM that has seen a newer epoch refuses them. Versions alone go back when the
-// store comes back older, eras don't.
+// Orders of an earlier holder may be carried out late. Its epochs derive from store
+// positions before this holder acquired the lease, so they are lower, and a VM that has
+// seen a newer epoch refuses them. Versions alone go back when the store is restored to
+// an older state; eras don't.
 func (m *Manager) nextEpoch() int64 {
 	at := m.Position()
 	m.epoch = max(m.epoch, at.Era<<eraBits+at.Version<<epochBits) + 1
 	return m.epoch
 }
 
-// markFree notes since when each worker belongs to no group that serves or forms.
+// markFree records since when each worker belongs to no group that serves or forms.
 func (m *Manager) markFree(now time.Time, workers []*Worker) {
 	serving := map[string]bool{}
 	for _, w := range workers {
