--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -256,7 +256,7 @@
 		g.refuse(w, r, refusal{status: http.StatusBadGateway, reason: "answer_unusable"})
 		return
 	}
-	platform.CopyAnswer(w.Header(), last.answer.Header)
+	platform.CopyResponseHeaders(w.Header(), last.answer.Header)
 	w.WriteHeader(status)
 	if err := passBody(w, last); err != nil {
 		klog.InfoS("answer_broken_off", "request", r.Ask.ID, "status", status, "err", err)
@@ -294,8 +294,8 @@
 }
 
 // forward returns what is added to a request for an endpoint.
-func (g *Gateway) forward(r *Request, e *fleet.Endpoint, lastEvent string) platform.Forward {
-	return platform.Forward{
-		Left: r.Left(time.Now()), Endpoint: e.ID, Account: r.account(), Priority: r.Priority(), LastEvent: lastEvent,
+func (g *Gateway) forward(r *Request, e *fleet.Endpoint, lastEvent string) platform.ForwardHeaders {
+	return platform.ForwardHeaders{
+		Timeout: r.Left(time.Now()), Endpoint: e.ID, Account: r.account(), Priority: r.Priority(), LastEvent: lastEvent,
 	}
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -14,7 +14,7 @@
 // Request is a caller's request, read whole, with the route and the account
 // that were found for it.
 type Request struct {
-	Ask     platform.Ask
+	Ask     platform.RequestInfo
 	Method  string
 	Host    string
 	Target  string // path and query as the caller sent them
@@ -67,8 +67,8 @@
 func (r *Request) withDeadline() {
 	r.Deadline = r.Arrived.Add(r.Route.Timeout)
 	r.ByRoute = true
-	if r.Ask.Patience > 0 && (r.Ask.Patience < r.Route.Timeout || r.Route.Timeout <= 0) {
-		r.Deadline = r.Arrived.Add(r.Ask.Patience)
+	if r.Ask.Timeout > 0 && (r.Ask.Timeout < r.Route.Timeout || r.Route.Timeout <= 0) {
+		r.Deadline = r.Arrived.Add(r.Ask.Timeout)
 		r.ByRoute = false
 	}
 }
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -117,11 +117,11 @@
 	Header  http.Header
 	Body    io.ReadCloser
 	Length  int64 // -1 if the answer doesn't say
-	Verdict platform.Verdict
+	Verdict platform.ResponseInfo
 }
 
 // Send sends one request to an endpoint, once. Ending ctx closes the connection.
-func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.Forward) (*Answer, error) {
+func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.ForwardHeaders) (*Answer, error) {
 	var conn *countedConn
 	var before int64
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -144,7 +144,7 @@
 		}
 		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, err)
 	}
-	verdict := platform.DecodeVerdict(answer.StatusCode, answer.Header)
+	verdict := platform.DecodeResponseInfo(answer.StatusCode, answer.Header)
 	if verdict.RequestID != "" && verdict.RequestID != in.Ask.ID {
 		// Guard: an endpoint may send a second, late answer on a kept connection,
 		// where the next request's answer is expected. The echoed id tells.
--- a/node/node.go
+++ b/node/node.go
@@ -86,7 +86,7 @@
 		Zones: s.Zones, FirstStart: s.FirstStart, Now: kernel.BootTime,
 	}, n.source)
 	n.manager = formation.NewManager(formation.Options{
-		Settings: n.currentSettings, Cache: n.cache, Orderer: platform.NewEngines(), Position: n.table.Position,
+		Settings: n.currentSettings, Cache: n.cache, Orderer: platform.NewEndpointClient(), Position: n.table.Position,
 		HoldsLease:     func(zone string) bool { return n.table.HoldsLease(zone, kernel.BootTime()) },
 		LeasePosition:  n.table.LeasePosition,
 		Recovered:      n.table.Recovered,
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -66,7 +66,7 @@
 func (t *tally) judgeAnswer(a attempt) {
 	want := "done " + a.id
 	if a.kind == "stream" {
-		want = platformtest.WholeAnswer(a.id, a.events)
+		want = platformtest.FullResponse(a.id, a.events)
 	}
 	switch {
 	case !a.broken && a.body == want:
@@ -79,7 +79,7 @@
 }
 
 // close checks what can only be told at the end: what the endpoints ran.
-func (t *tally) close(ledger *platformtest.Ledger) []string {
+func (t *tally) close(ledger *platformtest.RunCounter) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, id := range t.booked {
@@ -150,9 +150,9 @@
 	if a.kind == "look" {
 		method = http.MethodGet
 	}
-	address := c.world.nodes[c.node].settings.Callers
-	r, err := platformtest.NewRequest(ctx, method, address, "/"+a.kind+"/x", nil, platformtest.Ask{
-		ID: a.id, Key: key, Model: "m0", Patience: callerPatience, Prompt: 100, Answer: answerTokens,
+	address := c.world.nodes[c.node].settings.CallerAddress
+	r, err := platformtest.NewRequest(ctx, method, address, "/"+a.kind+"/x", nil, platformtest.RequestInfo{
+		ID: a.id, Key: key, Model: "m0", Timeout: callerPatience, Prompt: 100, Answer: answerTokens,
 	})
 	if err != nil {
 		a.broken = true
