--- a/daemon/router.go
+++ b/daemon/router.go
@@ -28,7 +28,7 @@
 type Router struct {
 	settings RouterSettings
 	Node     *peer.Node
-	Board    *route.Board
+	Board    *route.Selector
 	Server   *caller.Server
 	Keeper   *claim.Keeper
 	Poller   *endpoint.Poller
@@ -54,7 +54,7 @@
 	}, s.Peers, token)
 	node.Interval = s.ExchangeInterval.Std()
 	node.HealthBound = s.AliveBound.Std()
-	board := route.NewBoard(route.BoardConfig{
+	board := route.NewSelector(route.SelectorConfig{
 		AvailabilityZone: s.AvailabilityZone, Router: s.ID, AliveBound: s.AliveBound.Std(),
 		Ramp: ramp.SingleOwner{}, Picker: picker,
 	})
@@ -134,16 +134,16 @@
 // askGrants asks the zone's holder for the cold groups that fall to this
 // router. A grant counts from now, before the asking.
 func (r *Router) askGrants(ctx context.Context, now time.Time) {
-	groups := r.Board.WantsGrant(endpoint.RouterIDs(r.Node))
+	groups := r.Board.OwnedColdGroups(endpoint.RouterIDs(r.Node))
 	if len(groups) == 0 {
 		return
 	}
-	granted, err := r.Node.AskGrant(ctx, groups)
+	granted, err := r.Node.RequestGrants(ctx, groups)
 	if err != nil {
 		klog.V(1).InfoS("no_grant", "cause", err.Error())
 		return
 	}
-	r.Board.Granted(granted, now.Add(ramp.GrantTTL))
+	r.Board.RecordGrants(granted, now.Add(ramp.GrantTTL))
 	r.Board.Refresh(time.Now(), r.Node.Health, r.Node.Live(peer.Router))
 }
 
--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -77,7 +77,7 @@
 		klog.V(1).InfoS("lease_step_failed", "cause", err.Error())
 	}
 	holds := m.lease.Holds(time.Now())
-	m.node.WantHealth(holds)
+	m.node.SetWantHealth(holds)
 	m.status.Store(&LeaseStatus{Holder: m.lease.Holder(), Fencing: m.lease.Fencing(), Holding: holds, until: m.lease.HeldUntil()})
 	if holds != m.holding {
 		m.holding = holds
@@ -88,7 +88,7 @@
 		m.entryCounter = 0
 		// The last order of the previous holder may still be in transit.
 		m.ordersBlockedUntil = now.Add(m.config.OrderTimeout)
-		m.node.SetGranter(m.granter(now, holds))
+		m.node.SetGrantFunc(m.granter(now, holds))
 		klog.InfoS("lease_changed", "holding", holds, "fencing", m.lease.Fencing())
 	}
 	if !holds || now.Before(m.ordersBlockedUntil) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -113,7 +113,7 @@
 // returned request holds what was resolved so far.
 func (g *Gateway) resolve(in *http.Request, now time.Time) (*Request, *refusal) {
 	r := &Request{
-		Ask: platform.DecodeAsk(in.Header), Method: in.Method, Host: in.Host, Target: in.RequestURI,
+		Ask: platform.DecodeRequestInfo(in.Header), Method: in.Method, Host: in.Host, Target: in.RequestURI,
 		Header: in.Header, Arrived: now, view: g.Cache.View(),
 	}
 	if in.URL.IsAbs() {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -141,8 +141,8 @@
 	if method == http.MethodPost {
 		body = strings.NewReader("amount=50")
 	}
-	r, err := platformtest.NewRequest(context.Background(), method, s.server.Listener.Addr().String(), path, body, platformtest.Ask{
-		ID: "r-1", Key: "key-1", Model: "m0", Patience: 3 * time.Second, Prompt: 100, Answer: 50,
+	r, err := platformtest.NewRequest(context.Background(), method, s.server.Listener.Addr().String(), path, body, platformtest.RequestInfo{
+		ID: "r-1", Key: "key-1", Model: "m0", Timeout: 3 * time.Second, Prompt: 100, Answer: 50,
 	})
 	require.NoError(s.t, err)
 	return r
@@ -166,7 +166,7 @@
 
 // sign adds the echoed request id and the endpoint's signature to a response.
 func sign(w http.ResponseWriter, r *http.Request) {
-	platformtest.Sign(w, platformtest.Read(r).ID, "sig")
+	platformtest.Sign(w, platformtest.ReadHeaders(r).ID, "sig")
 }
 
 func writeEvents(w http.ResponseWriter, from, to int) {
@@ -205,7 +205,7 @@
 	require.Equal(t, "/book/a%2Fb?x=1&y=%20", seen.RequestURI)
 	require.Equal(t, "a.example", seen.Host)
 	require.Equal(t, "amount=50", body)
-	require.Equal(t, platformtest.Received{ID: "r-1", Account: "depot", Endpoint: "e1"}, platformtest.Read(seen))
+	require.Equal(t, platformtest.ReceivedHeaders{ID: "r-1", Account: "depot", Endpoint: "e1"}, platformtest.ReadHeaders(seen))
 	require.Empty(t, seen.Header.Get("Authorization"))
 }
 
@@ -259,7 +259,7 @@
 			s := newFixture(t)
 			var runs atomic.Int32
 			broken := func(w http.ResponseWriter, r *http.Request) {
-				if platformtest.Read(r).ID == "warm" {
+				if platformtest.ReadHeaders(r).ID == "warm" {
 					sign(w, r)
 					return
 				}
@@ -305,9 +305,9 @@
 		t.Run(name, func(t *testing.T) {
 			s := newFixture(t)
 			s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
-				platformtest.Echo(w, platformtest.Read(r).ID)
+				platformtest.SetRequestID(w, platformtest.ReadHeaders(r).ID)
 				if c.notRun {
-					platformtest.PromiseNotRun(w)
+					platformtest.SetNotExecuted(w)
 				}
 				w.WriteHeader(http.StatusServiceUnavailable)
 			})
@@ -332,7 +332,7 @@
 func TestUnsignedSuccessIsNotForwarded(t *testing.T) {
 	s := newFixture(t)
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
-		platformtest.Echo(w, platformtest.Read(r).ID)
+		platformtest.SetRequestID(w, platformtest.ReadHeaders(r).ID)
 		_, _ = w.Write([]byte("?")) // the reader checks what it received
 	})
 	require.Equal(t, http.StatusBadGateway, s.do(s.request(http.MethodPost, "/book/")).status)
@@ -371,7 +371,7 @@
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				sign(w, r)
 				mu.Lock()
-				lasts = append(lasts, platformtest.Read(r).LastEvent)
+				lasts = append(lasts, platformtest.ReadHeaders(r).LastEvent)
 				attempt := len(lasts)
 				mu.Unlock()
 				if attempt == 1 {
@@ -448,7 +448,7 @@
 func TestStreamRejectedByTwoGroupsReturns503(t *testing.T) {
 	s := newFixture(t)
 	busy := func(w http.ResponseWriter, r *http.Request) {
-		platformtest.Echo(w, platformtest.Read(r).ID)
+		platformtest.SetRequestID(w, platformtest.ReadHeaders(r).ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}
 	s.endpoint("e1", "llm", busy)
--- a/gateway/stop_expected_test.go
+++ b/gateway/stop_expected_test.go
@@ -24,7 +24,7 @@
 	const bookingTime = 2 * time.Second
 	var late atomic.Int32
 	s.endpoint("desk-1", "desk", func(w http.ResponseWriter, r *http.Request) {
-		if platformtest.Read(r).ID == "late" {
+		if platformtest.ReadHeaders(r).ID == "late" {
 			late.Add(1)
 		}
 		if r.URL.Path == "/book/x" {
@@ -33,8 +33,8 @@
 		sign(w, r)
 	})
 	ask := func(path, id string) response {
-		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), path, nil, platformtest.Ask{
-			ID: id, Key: "key-1", Patience: 3 * time.Second,
+		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), path, nil, platformtest.RequestInfo{
+			ID: id, Key: "key-1", Timeout: 3 * time.Second,
 		})
 		require.NoError(t, err)
 		return s.do(r)
--- a/gateway/stop_retry_test.go
+++ b/gateway/stop_retry_test.go
@@ -33,12 +33,12 @@
 			s := newFixture(t)
 			var tries atomic.Int32
 			handler := func(w http.ResponseWriter, r *http.Request) {
-				if platformtest.Read(r).ID == "earlier" {
+				if platformtest.ReadHeaders(r).ID == "earlier" {
 					time.Sleep(300 * time.Millisecond) // the duration that the gateway expects from then on
 				} else if tries.Add(1) == 1 {
 					time.Sleep(600 * time.Millisecond)
-					w.Header().Set("Request-Id", platformtest.Read(r).ID)
-					platformtest.PromiseNotRun(w)
+					w.Header().Set("Request-Id", platformtest.ReadHeaders(r).ID)
+					platformtest.SetNotExecuted(w)
 					w.WriteHeader(http.StatusServiceUnavailable)
 					return
 				}
@@ -48,8 +48,8 @@
 			s.endpoint("one", one.service, handler)
 			s.endpoint("other", one.service, handler)
 			ask := func(id string) response {
-				r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), one.path, nil, platformtest.Ask{
-					ID: id, Key: "key-1", Model: "m0", Patience: 3 * time.Second, Prompt: 100, Answer: 60,
+				r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), one.path, nil, platformtest.RequestInfo{
+					ID: id, Key: "key-1", Model: "m0", Timeout: 3 * time.Second, Prompt: 100, Answer: 60,
 				})
 				require.NoError(t, err)
 				return s.do(r)
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -70,7 +70,7 @@
 	s := newFixture(t)
 	var ran sync.Map // request ids
 	handler := func(w http.ResponseWriter, r *http.Request) {
-		ran.Store(platformtest.Read(r).ID, true)
+		ran.Store(platformtest.ReadHeaders(r).ID, true)
 		sign(w, r)
 		writeEvents(w, 1, 3)
 	}
@@ -95,8 +95,8 @@
 		{"/look/x", 0, time.Second, http.StatusOK},
 	} {
 		id := fmt.Sprintf("%s, %d tokens, %s", one.path, one.answer, one.patience)
-		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), one.path, nil, platformtest.Ask{
-			ID: id, Key: "key-1", Model: "m0", Patience: one.patience, Prompt: 100, Answer: one.answer,
+		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), one.path, nil, platformtest.RequestInfo{
+			ID: id, Key: "key-1", Model: "m0", Timeout: one.patience, Prompt: 100, Answer: one.answer,
 		})
 		require.NoError(t, err)
 		asked := time.Now()
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -214,7 +214,7 @@
 		return
 	}
 	c.headersSent = true
-	platform.CopyAnswer(c.w.Header(), response.Header)
+	platform.CopyResponseHeaders(c.w.Header(), response.Header)
 	c.w.WriteHeader(response.Status)
 }
 
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -117,12 +117,12 @@
 	Header  http.Header
 	Body    io.ReadCloser
 	Length  int64 // -1 if unknown
-	Verdict platform.Verdict
+	Verdict platform.ResponseInfo
 }
 
 // Send sends one request to an endpoint, without retries. Cancelling ctx closes the
 // connection.
-func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.Forward) (*Response, error) {
+func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.ForwardHeaders) (*Response, error) {
 	var conn *countingConn
 	var before int64
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -145,7 +145,7 @@
 		}
 		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, err)
 	}
-	verdict := platform.DecodeVerdict(response.StatusCode, response.Header)
+	verdict := platform.DecodeResponseInfo(response.StatusCode, response.Header)
 	if verdict.RequestID != "" && verdict.RequestID != in.Ask.ID {
 		// An endpoint may send a late second response to an earlier request on a
 		// reused connection, in place of the next request's response. The echoed
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -91,7 +91,7 @@
 // older health record arrives from another router. The group used to count as
 // whole until its last observation expired.
 func TestRefusedMemberTakesGroupOutAtOnce(t *testing.T) {
-	book := peer.NewHealthBook()
+	book := peer.NewHealthCache()
 	tracker := health.NewTracker(pair())
 	tracker.Observe(0, report("s"), start)
 	tracker.Observe(1, report("t"), start)
@@ -114,7 +114,7 @@
 // before the restart arrives from a peer. The record that arrived last used to
 // replace the newer one.
 func TestBrokenIsFinalForItsGeneration(t *testing.T) {
-	book := peer.NewHealthBook()
+	book := peer.NewHealthCache()
 	broken := redwinghall.GroupHealth{Group: "g", Generation: 3, Broken: true, Ready: true, SeenAt: start}
 	require.True(t, book.Merge(broken))
 	require.False(t, book.Merge(broken), "known already")
--- a/node/era_test.go
+++ b/node/era_test.go
@@ -21,14 +21,14 @@
 	t.Helper()
 	const lost = 400 // versions
 	store := z.nodes[0].store
-	kept := store.Copy()
+	kept := store.Snapshot()
 	for i := range lost {
 		require.NoError(t, store.Put("status", "note", i))
 	}
 	time.Sleep(2 * time.Second) // until all nodes have read these versions
-	store.ComeBack(kept)
+	store.Restore(kept)
 	for _, e := range z.all() {
-		require.NoError(t, e.Beat())
+		require.NoError(t, e.Heartbeat())
 	}
 }
 
@@ -49,16 +49,16 @@
 			z := deployZones(t, nodes)
 			z.restoreStore(t)
 			time.Sleep(2 * time.Second)
-			refused := z.nodes[0].store.Refused()
+			refused := z.nodes[0].store.RefusedFeeds()
 			require.NoError(t, z.desks[0].Drain())
 			left := time.Now()
 			require.NoError(t, z.nodes[0].store.Put("op", "config", platformtest.Configuration(2, "key-1", "key-2")))
 			z.runCallers(t, 5*time.Second, http.MethodGet, "/look/x")
-			for _, at := range z.desks[0].Arrived() {
+			for _, at := range z.desks[0].ArrivalTimes() {
 				require.Less(t, at.Sub(left), drainBound)
 			}
-			require.LessOrEqual(t, z.nodes[0].store.Refused(), refused, "nodes keep requesting changes that the store doesn't have")
-			require.NotEmpty(t, z.desks[1].Arrived(), fmt.Sprint(nodes))
+			require.LessOrEqual(t, z.nodes[0].store.RefusedFeeds(), refused, "nodes keep requesting changes that the store doesn't have")
+			require.NotEmpty(t, z.desks[1].ArrivalTimes(), fmt.Sprint(nodes))
 		})
 	}
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -26,7 +26,7 @@
 type deployment struct {
 	t        *testing.T
 	store    *platformtest.Store
-	ledger   *platformtest.Ledger
+	ledger   *platformtest.RunCounter
 	engines  []*platformtest.Endpoint
 	settings platformtest.NodeSettings
 	path     string
@@ -72,7 +72,7 @@
 // and whose booking desk takes the time given by desk.
 func deployWith(t *testing.T, engine, desk platformtest.EndpointConfig) *deployment {
 	t.Helper()
-	d := &deployment{t: t, store: platformtest.NewStore(), ledger: platformtest.NewLedger(), done: make(chan error, 1)}
+	d := &deployment{t: t, store: platformtest.NewStore(), ledger: platformtest.NewRunCounter(), done: make(chan error, 1)}
 	t.Cleanup(d.store.Close)
 	require.NoError(t, d.store.Put("op", "config", platformtest.Configuration(1, "key-1")))
 	for i := range 3 {
@@ -85,8 +85,8 @@
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%100, 1+os.Getpid()/100%250, hosts.Add(1))
 	free := freeAddresses(t, host, 3)
 	d.settings = platformtest.NodeSettings{
-		Node: "n1", Zone: "a", Zones: []string{"a"}, Callers: free[0], Readiness: free[1], IP: host,
-		Internal: portOf(t, free[2]), Store: d.store.Address(),
+		Node: "n1", Zone: "a", Zones: []string{"a"}, CallerAddress: free[0], ReadinessAddress: free[1], IP: host,
+		FirstInternalPort: portOf(t, free[2]), StoreAddress: d.store.Address(),
 	}
 	d.path = filepath.Join(t.TempDir(), "node.conf")
 	require.NoError(t, os.WriteFile(d.path, []byte(d.settings.Text()), 0o600))
@@ -124,7 +124,7 @@
 }
 
 func (d *deployment) ready() bool {
-	answer, err := http.Get("http://" + d.settings.Readiness + platform.PathReadiness)
+	answer, err := http.Get("http://" + d.settings.ReadinessAddress + platform.PathReadiness)
 	if err != nil {
 		return false
 	}
@@ -138,7 +138,7 @@
 	require.Eventually(d.t, d.ready, 10*time.Second, 20*time.Millisecond)
 	require.Eventually(d.t, func() bool {
 		for _, e := range d.engines {
-			if e.Open() {
+			if e.IsOpen() {
 				return true
 			}
 		}
@@ -157,8 +157,8 @@
 }
 
 func (d *deployment) ask(method, path, id string) (int, string) {
-	r, err := platformtest.NewRequest(context.Background(), method, d.settings.Callers, path, nil, platformtest.Ask{
-		ID: id, Key: "key-1", Model: "m0", Patience: 5 * time.Second, Prompt: 100, Answer: 30,
+	r, err := platformtest.NewRequest(context.Background(), method, d.settings.CallerAddress, path, nil, platformtest.RequestInfo{
+		ID: id, Key: "key-1", Model: "m0", Timeout: 5 * time.Second, Prompt: 100, Answer: 30,
 	})
 	require.NoError(d.t, err)
 	return d.send(http.DefaultClient, r)
@@ -186,7 +186,7 @@
 	d.waitServing()
 	status, body := d.ask(http.MethodPost, "/stream/x", "ask-1")
 	require.Equal(t, http.StatusOK, status)
-	require.Equal(t, platformtest.WholeAnswer("ask-1", answerEvents), body)
+	require.Equal(t, platformtest.FullResponse("ask-1", answerEvents), body)
 	status, body = d.ask(http.MethodPost, "/book/x", "book-1")
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "done book-1", body)
@@ -206,7 +206,7 @@
 	d := deploy(t)
 	d.start()
 	d.waitServing()
-	d.store.Forget()
+	d.store.DropHistory()
 	require.NoError(t, d.store.Put("op", "config", platformtest.Configuration(2, "key-2")))
 	require.Eventually(t, func() bool {
 		status, _ := d.ask(http.MethodGet, "/look/x", "look-1")
@@ -228,7 +228,7 @@
 			for i := range 20 {
 				status, body := d.ask(http.MethodPost, "/stream/x", fmt.Sprint("ask-", i))
 				require.Equal(t, http.StatusOK, status)
-				require.Equal(t, platformtest.WholeAnswer(fmt.Sprint("ask-", i), answerEvents), body)
+				require.Equal(t, platformtest.FullResponse(fmt.Sprint("ask-", i), answerEvents), body)
 				time.Sleep(100 * time.Millisecond)
 			}
 			d.store.SetFaults(platformtest.Faults{})
@@ -253,7 +253,7 @@
 				id := fmt.Sprintf("ask-%d-%d", i, n)
 				status, body := d.ask(http.MethodPost, "/stream/x", id)
 				mu.Lock()
-				if status == http.StatusOK && body == platformtest.WholeAnswer(id, answerEvents) {
+				if status == http.StatusOK && body == platformtest.FullResponse(id, answerEvents) {
 					answered++
 				} else if d.ledger.Runs(id) > 0 {
 					broken++
