--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -113,7 +113,7 @@
 // returned request holds what was resolved so far.
 func (g *Gateway) resolve(in *http.Request, now time.Time) (*Request, *refusal) {
 	r := &Request{
-		Ask: platform.DecodeRequestInfo(in.Header), Method: in.Method, Host: in.Host, Target: in.RequestURI,
+		Info: platform.DecodeRequestInfo(in.Header), Method: in.Method, Host: in.Host, Target: in.RequestURI,
 		Header: in.Header, Arrived: now, view: g.Cache.View(),
 	}
 	if in.URL.IsAbs() {
@@ -128,13 +128,13 @@
 	}
 	r.Route = route
 	if !route.Public && r.view.RequiresKey() {
-		account, ok := r.view.Account(r.Ask.Key)
+		account, ok := r.view.Account(r.Info.Key)
 		if !ok {
 			return r, &refusal{status: http.StatusUnauthorized, reason: "unknown_key"}
 		}
 		r.Account = account
 	}
-	service, ok := r.view.Service(pickService(route.Split, r.Ask.ID))
+	service, ok := r.view.Service(pickService(route.Split, r.Info.ID))
 	if !ok {
 		return r, &refusal{status: http.StatusServiceUnavailable, reason: "service_unknown", retryAfter: defaultRetryAfter}
 	}
@@ -169,7 +169,7 @@
 		g.refuse(w, r, refusal{status: http.StatusRequestEntityTooLarge, reason: "body_too_large"})
 		return
 	}
-	klog.InfoS("request_broken_off", "request", r.Ask.ID, "err", err)
+	klog.InfoS("request_broken_off", "request", r.Info.ID, "err", err)
 	panic(http.ErrAbortHandler) // the caller disconnected while sending its body
 }
 
@@ -190,13 +190,13 @@
 		cold = 0
 	}
 	req := balance.Request{
-		Service: r.Service, Zone: settings.Zone, Prompt: r.Ask.Prompt, Answer: r.Ask.MaxAnswer, Objective: r.Route.Objective, Tried: tried,
+		Service: r.Service, Zone: settings.Zone, Prompt: r.Info.Prompt, Answer: r.Info.MaxAnswer, Objective: r.Route.Objective, Tried: tried,
 		Node: settings.Node, Nodes: nodes, ZoneNodes: zone, IsDispatcher: shares.IsDispatcher,
 		ColdRateOwnZone: coldZoneShare * cold / float64(zone), ColdRateOtherZones: (1 - coldZoneShare) * cold / float64(max(1, nodes-zone)),
 		Connections: connectionShare(r.Service.MaxConnections, nodes),
 	}
 	if r.Service.Engine != nil {
-		req.Model, _ = r.Service.Engine.Model(r.Ask.Model)
+		req.Model, _ = r.Service.Engine.Model(r.Info.Model)
 	}
 	return req
 }
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -49,7 +49,7 @@
 			return choice.WithPermit(true), nil
 		}
 		choice.Attempt.Cancel()
-		klog.InfoS("not_permitted", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID, "answered", ok, "wait", permit.Wait,
+		klog.InfoS("not_permitted", "request", r.Info.ID, "endpoint", choice.Endpoint.ID, "answered", ok, "wait", permit.Wait,
 			"per_second", permit.Limit.Limit.PerSecond, "limit_age", permit.Limit.Age)
 		g.Metrics.NotPermitted()
 		refused = balance.LimitedRefusal(permit.Wait)
@@ -81,7 +81,7 @@
 // recordLimit records the rate limit that a response announces for its endpoint.
 func (g *Gateway) recordLimit(r *Request, choice balance.Choice, response *Response) {
 	if response.Verdict.LimitUnreadable {
-		klog.InfoS("limit_unreadable", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID)
+		klog.InfoS("limit_unreadable", "request", r.Info.ID, "endpoint", choice.Endpoint.ID)
 		return
 	}
 	limit := response.Verdict.Limit
@@ -89,7 +89,7 @@
 	if !changed {
 		return
 	}
-	klog.InfoS("limit_named", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID, "named", limit.Named, "per_second", limit.PerSecond,
+	klog.InfoS("limit_named", "request", r.Info.ID, "endpoint", choice.Endpoint.ID, "named", limit.Named, "per_second", limit.PerSecond,
 		"named_before", before.Named, "per_second_before", before.PerSecond, "status", response.Status, "running", choice.Running)
 	g.Metrics.LimitChanged(limit.Named)
 }
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -13,7 +13,7 @@
 // chooseGroup chooses the group for a stream. If another node dispatches for this
 // zone, it is asked first; without its reply this node chooses from its own view.
 func (c *streamCall) chooseGroup(ctx context.Context, now time.Time, req balance.Request) (balance.Choice, *balance.Refusal) {
-	heads := c.r.view.Heads(c.r.Service.Name, c.r.Ask.Model)
+	heads := c.r.view.Heads(c.r.Service.Name, c.r.Info.Model)
 	if c.g.Placer == nil || !c.g.Placer.HasDispatcher(now) {
 		return c.chooseByZones(ctx, now, heads, req)
 	}
@@ -49,7 +49,7 @@
 	case !ok:
 		return dispatcherChoice{}, false
 	case placement.Endpoint == "":
-		klog.InfoS("dispatcher_has_no_room", "request", c.r.Ask.ID, "predicted", placement.Predicted, "elsewhere", placement.AlternativeZone,
+		klog.InfoS("dispatcher_has_no_room", "request", c.r.Info.ID, "predicted", placement.Predicted, "elsewhere", placement.AlternativeZone,
 			"limited_for", placement.LimitedFor)
 		// Without a prediction or a rate limit, the dispatcher knows of no group in
 		// this zone. This node may know of one, since views differ briefly.
@@ -108,7 +108,7 @@
 			}
 			req = req.WithZoneFull(choice.Endpoint.Zone)
 		case placement.Endpoint == "":
-			klog.InfoS("zone_has_no_room", "request", c.r.Ask.ID, "zone", choice.Endpoint.Zone, "there", placement.Predicted,
+			klog.InfoS("zone_has_no_room", "request", c.r.Info.ID, "zone", choice.Endpoint.Zone, "there", placement.Predicted,
 				"predicted_here", choice.Predicted, "load_age", choice.Age)
 			choice.Attempt.Cancel()
 			req = req.WithZoneFull(choice.Endpoint.Zone)
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -170,7 +170,7 @@
 	now := time.Now()
 	if last.err != nil {
 		choice.Attempt.Done(now, false)
-		klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
+		klog.InfoS("attempt_failed", "request", c.r.Info.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
 			"kind", redwinghall.KindOf[Kind](last.err), "running", choice.Running, "err", last.err)
 		return
 	}
@@ -182,7 +182,7 @@
 	if last.response.Status == http.StatusMisdirectedRequest {
 		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	}
-	klog.InfoS("answered", "request", c.r.Ask.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "status", last.response.Status,
+	klog.InfoS("answered", "request", c.r.Info.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "status", last.response.Status,
 		"not_run", last.notRun, "running", choice.Running, "load_age", choice.Age, "attempts", c.sent, "took", now.Sub(c.r.Arrived),
 		"configuration", c.r.configVersion())
 }
@@ -206,7 +206,7 @@
 	} else {
 		c.sent++
 	}
-	klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
+	klog.InfoS("attempt_failed", "request", c.r.Info.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
 		"kind", redwinghall.KindOf[Kind](err), "running", choice.Running, "err", err)
 	return plainAttempt{err: err}
 }
@@ -262,7 +262,7 @@
 	platform.CopyResponseHeaders(w.Header(), last.response.Header)
 	w.WriteHeader(status)
 	if err := writeBody(w, last); err != nil {
-		klog.InfoS("answer_broken_off", "request", r.Ask.ID, "status", status, "err", err)
+		klog.InfoS("answer_broken_off", "request", r.Info.ID, "status", status, "err", err)
 		panic(http.ErrAbortHandler) // a truncated response must not look complete
 	}
 	g.Metrics.Answered(r, status, time.Since(r.Arrived))
@@ -289,11 +289,11 @@
 // signedFor reports whether a successful response is signed by the endpoint and
 // belongs to this request.
 func signedFor(r *Request, response *Response) bool {
-	return response.Verdict.Signed && response.Verdict.RequestID == r.Ask.ID
+	return response.Verdict.Signed && response.Verdict.RequestID == r.Info.ID
 }
 
 func (g *Gateway) callerGone(r *Request) {
-	klog.InfoS("caller_gone", "request", r.Ask.ID, "route", r.Route.Name, "after", time.Since(r.Arrived), "node_stopping", g.stop().Active())
+	klog.InfoS("caller_gone", "request", r.Info.ID, "route", r.Route.Name, "after", time.Since(r.Arrived), "node_stopping", g.stop().Active())
 	g.Metrics.CallerGone(r)
 	panic(http.ErrAbortHandler)
 }
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -63,26 +63,26 @@
 // refuse sends an error response immediately, so that the caller has time left to try
 // another node.
 func (g *Gateway) refuse(w http.ResponseWriter, r *Request, why refusal) {
-	klog.InfoS("refused", "request", r.Ask.ID, "status", why.status, "reason", why.reason, "account", r.account(),
+	klog.InfoS("refused", "request", r.Info.ID, "status", why.status, "reason", why.reason, "account", r.account(),
 		"route", routeName(r), "predicted", why.predicted, "objective", routeObjective(r), "best", why.best, "running", why.running,
 		"load_age", why.loadAge, "node_left", why.nodeLeft, "retry_after", why.retryAfter, "held", time.Since(r.Arrived),
 		"configuration", r.configVersion())
 	g.Metrics.Refused(r, why)
 	h := w.Header()
-	platform.SetRequestID(h, r.Ask.ID)
+	platform.SetRequestID(h, r.Info.ID)
 	h.Set("Content-Type", "application/json")
 	if why.retryAfter > 0 {
 		seconds := math.Ceil(why.retryAfter.Seconds()*1000) / 1000
 		h.Set("Retry-After", strconv.FormatFloat(seconds, 'f', -1, 64))
 	}
-	body, err := json.Marshal(refusalBody{Error: why.reason, RequestID: r.Ask.ID})
+	body, err := json.Marshal(refusalBody{Error: why.reason, RequestID: r.Info.ID})
 	if err != nil {
-		klog.ErrorS(err, "refusal_unwritten", "request", r.Ask.ID)
+		klog.ErrorS(err, "refusal_unwritten", "request", r.Info.ID)
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(why.status)
 	if _, err := w.Write(body); err != nil {
-		klog.V(1).InfoS("caller_gone", "request", r.Ask.ID, "err", err)
+		klog.V(1).InfoS("caller_gone", "request", r.Info.ID, "err", err)
 	}
 }
 
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -14,7 +14,7 @@
 // Request is a caller's request, including its complete body, with the route and the
 // account that were resolved for it.
 type Request struct {
-	Ask     platform.RequestInfo
+	Info    platform.RequestInfo
 	Method  string
 	Host    string
 	Target  string // path and query exactly as the caller sent them
@@ -70,8 +70,8 @@
 func (r *Request) setDeadline() {
 	r.Deadline = r.Arrived.Add(r.Route.Timeout)
 	r.ByRoute = true
-	if r.Ask.Timeout > 0 && (r.Ask.Timeout < r.Route.Timeout || r.Route.Timeout <= 0) {
-		r.Deadline = r.Arrived.Add(r.Ask.Timeout)
+	if r.Info.Timeout > 0 && (r.Info.Timeout < r.Route.Timeout || r.Route.Timeout <= 0) {
+		r.Deadline = r.Arrived.Add(r.Info.Timeout)
 		r.ByRoute = false
 	}
 }
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -72,7 +72,7 @@
 	view := c.g.Cache.View()
 	others := view.ByService[c.r.Service.Name]
 	if c.r.Service.Engine != nil {
-		others = view.Heads(c.r.Service.Name, c.r.Ask.Model)
+		others = view.Heads(c.r.Service.Name, c.r.Info.Model)
 	}
 	if !c.g.Tracker.HasAlternative(now, others, view.ZonesOut, c.g.balanceRequest(c.r, c.tried)) {
 		return false
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -54,7 +54,7 @@
 // serveStream handles a request whose response is a stream of events.
 func (g *Gateway) serveStream(ctx context.Context, w http.ResponseWriter, r *Request) {
 	call := &streamCall{g: g, r: r, w: w, flush: http.NewResponseController(w), tried: map[string]bool{}}
-	if id, err := strconv.ParseInt(r.Ask.LastEvent, 10, 64); err == nil {
+	if id, err := strconv.ParseInt(r.Info.LastEvent, 10, 64); err == nil {
 		call.lastID, call.hasID = id, true
 	}
 	for {
@@ -143,7 +143,7 @@
 		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	}
 	if !ok {
-		klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
+		klog.InfoS("attempt_failed", "request", c.r.Info.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
 			"group", choice.Endpoint.Member.Group, "kind", redwinghall.KindOf[Kind](last.err), "not_run", last.notRun,
 			"stalled", stalled.Load(), "last_event", c.lastID, "running", choice.Running, "predicted", choice.Predicted, "err", last.err)
 	}
@@ -175,7 +175,7 @@
 		return streamAttempt{notRun: true, response: response}
 	case response.Status != http.StatusOK:
 		return c.forwardFailure(response)
-	case !response.Verdict.Signed || response.Verdict.RequestID != c.r.Ask.ID || response.Verdict.Encoded:
+	case !response.Verdict.Signed || response.Verdict.RequestID != c.r.Info.ID || response.Verdict.Encoded:
 		return streamAttempt{err: redwinghall.NewOpError("streamCall.exchange", Unknown, errWrongResponse)}
 	}
 	c.sendHeaders(response)
@@ -184,7 +184,7 @@
 		return streamAttempt{err: redwinghall.NewOpError("streamCall.exchange", Unknown, err)}
 	}
 	first, took := c.firstEventAt.Sub(c.r.Arrived), time.Since(c.r.Arrived)
-	klog.InfoS("streamed", "request", c.r.Ask.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "zone", choice.Endpoint.Zone,
+	klog.InfoS("streamed", "request", c.r.Info.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "zone", choice.Endpoint.Zone,
 		"running", choice.Running, "load_age", choice.Age, "predicted", choice.Predicted, "first", first, "expected", choice.Expected, "pause", c.longestPause,
 		"took", took, "attempts", c.sent.Load(), "configuration", c.r.configVersion())
 	c.g.Metrics.Streamed(c.r, first, c.longestPause, took)
@@ -280,7 +280,7 @@
 	if c.r.Service.Engine == nil {
 		return nil
 	}
-	model, ok := c.r.Service.Engine.Model(c.r.Ask.Model)
+	model, ok := c.r.Service.Engine.Model(c.r.Info.Model)
 	if !ok {
 		return nil
 	}
@@ -329,7 +329,7 @@
 func (c *streamCall) refuse(why refusal) {
 	if c.headersSent {
 		now := time.Now()
-		klog.InfoS("stream_broken_off", "request", c.r.Ask.ID, "reason", why.reason, "last_event", c.lastID, "attempts", c.sent.Load(),
+		klog.InfoS("stream_broken_off", "request", c.r.Info.ID, "reason", why.reason, "last_event", c.lastID, "attempts", c.sent.Load(),
 			"attempts_allowed", c.r.Route.MaxAttempts, "left", c.r.Left(now), "held", now.Sub(c.r.Arrived))
 		c.g.Metrics.Refused(c.r, why)
 		panic(http.ErrAbortHandler)
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -146,7 +146,7 @@
 		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, err)
 	}
 	verdict := platform.DecodeResponseInfo(response.StatusCode, response.Header)
-	if verdict.RequestID != "" && verdict.RequestID != in.Ask.ID {
+	if verdict.RequestID != "" && verdict.RequestID != in.Info.ID {
 		// An endpoint may send a late second response to an earlier request on a
 		// reused connection, in place of the next request's response. The echoed
 		// request id reveals it.
