--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -80,12 +80,12 @@
 
 // recordLimit records the rate limit that a response announces for its endpoint.
 func (g *Gateway) recordLimit(r *Request, choice balance.Choice, response *Response) {
-	if response.Verdict.LimitUnreadable {
+	if response.Info.LimitUnreadable {
 		klog.InfoS("limit_unreadable", "request", r.Info.ID, "endpoint", choice.Endpoint.ID)
 		return
 	}
-	limit := response.Verdict.Limit
-	before, changed := choice.Attempt.RecordLimit(time.Now(), limit, !response.Verdict.NotRun)
+	limit := response.Info.Limit
+	before, changed := choice.Attempt.RecordLimit(time.Now(), limit, !response.Info.NotRun)
 	if !changed {
 		return
 	}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -150,10 +150,10 @@
 
 // readResponse reads up to maxBufferedResponse bytes of a response.
 func (c *plainCall) readResponse(response *Response) plainAttempt {
-	last := plainAttempt{response: response, notRun: response.Verdict.NotRun}
+	last := plainAttempt{response: response, notRun: response.Info.NotRun}
 	var err error
 	last.body, err = io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse+1))
-	if err == nil && response.Verdict.Encoded {
+	if err == nil && response.Info.Encoded {
 		err = errEncodedResponse
 	}
 	if err != nil && !last.notRun {
@@ -174,7 +174,7 @@
 			"kind", redwinghall.KindOf[Kind](last.err), "running", choice.Running, "err", last.err)
 		return
 	}
-	load := last.response.Verdict.Load
+	load := last.response.Info.Load
 	if load.Known {
 		choice.Attempt.RecordLoad(now, load.Running+load.Waiting)
 	}
@@ -289,7 +289,7 @@
 // signedFor reports whether a successful response is signed by the endpoint and
 // belongs to this request.
 func signedFor(r *Request, response *Response) bool {
-	return response.Verdict.Signed && response.Verdict.RequestID == r.Info.ID
+	return response.Info.Signed && response.Info.RequestID == r.Info.ID
 }
 
 func (g *Gateway) callerGone(r *Request) {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -167,15 +167,15 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	c.g.recordLimit(c.r, choice, response)
-	if response.Verdict.Load.Known {
-		choice.Attempt.RecordLoad(time.Now(), response.Verdict.Load.Running+response.Verdict.Load.Waiting)
+	if response.Info.Load.Known {
+		choice.Attempt.RecordLoad(time.Now(), response.Info.Load.Running+response.Info.Load.Waiting)
 	}
 	switch {
-	case response.Verdict.NotRun:
+	case response.Info.NotRun:
 		return streamAttempt{notRun: true, response: response}
 	case response.Status != http.StatusOK:
 		return c.forwardFailure(response)
-	case !response.Verdict.Signed || response.Verdict.RequestID != c.r.Info.ID || response.Verdict.Encoded:
+	case !response.Info.Signed || response.Info.RequestID != c.r.Info.ID || response.Info.Encoded:
 		return streamAttempt{err: redwinghall.NewOpError("streamCall.exchange", Unknown, errWrongResponse)}
 	}
 	c.sendHeaders(response)
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -113,11 +113,11 @@
 
 // Response is an endpoint's response; its body must be closed.
 type Response struct {
-	Status  int
-	Header  http.Header
-	Body    io.ReadCloser
-	Length  int64 // -1 if unknown
-	Verdict platform.ResponseInfo
+	Status int
+	Header http.Header
+	Body   io.ReadCloser
+	Length int64 // -1 if unknown
+	Info   platform.ResponseInfo
 }
 
 // Send sends one request to an endpoint, without retries. Cancelling ctx closes the
@@ -155,7 +155,7 @@
 	}
 	return &Response{
 		Status: response.StatusCode, Header: response.Header, Body: response.Body,
-		Length: response.ContentLength, Verdict: verdict,
+		Length: response.ContentLength, Info: verdict,
 	}, nil
 }
 
