--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -128,7 +128,7 @@
 func (c *plainCall) attempt(ctx context.Context, choice balance.Choice) plainAttempt {
 	c.tried[choice.Endpoint.ID] = true
 	ctx, cancel := context.WithTimeout(ctx, c.attemptTimeout(time.Now()))
-	response, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forward(c.r, choice.Endpoint, ""))
+	response, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forwardHeaders(c.r, choice.Endpoint, ""))
 	if err != nil {
 		cancel()
 		return c.recordSendFailure(choice, err)
@@ -298,8 +298,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// forward returns the headers that are added to a request for an endpoint.
-func (g *Gateway) forward(r *Request, e *fleet.Endpoint, lastEvent string) platform.ForwardHeaders {
+// forwardHeaders returns the headers that are added to a request for an endpoint.
+func (g *Gateway) forwardHeaders(r *Request, e *fleet.Endpoint, lastEvent string) platform.ForwardHeaders {
 	return platform.ForwardHeaders{
 		Timeout: r.Left(time.Now()), Endpoint: e.ID, Account: r.account(), Priority: r.Priority(), LastEvent: lastEvent,
 	}
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -56,9 +56,9 @@
 	awake, suspended := stop.AdjustForSuspend(now, boot.Add(time.Second)), stop.AdjustForSuspend(now, boot.Add(3*time.Second))
 	require.Equal(t, stop, awake)
 	require.Equal(t, stop.End.Add(-2*time.Second), suspended.End)
-	const stream, patience = 5 * time.Second, 20 * time.Second
-	require.True(t, awake.Accepts(now, stream, now.Add(patience)))
-	require.False(t, suspended.Accepts(now, stream, now.Add(patience)))
+	const stream, timeout = 5 * time.Second, 20 * time.Second
+	require.True(t, awake.Accepts(now, stream, now.Add(timeout)))
+	require.False(t, suspended.Accepts(now, stream, now.Add(timeout)))
 	require.Equal(t, stop, stop.AdjustForSuspend(now, boot), "a boot clock that lags behind must not extend the stop")
 }
 
@@ -79,10 +79,10 @@
 	now := time.Now()
 	s.stop = gateway.Stop{Begun: now.Add(-4 * time.Second), Noticed: now.Add(-2 * time.Second), End: now.Add(2 * time.Second)}
 	for _, one := range []struct {
-		path     string
-		answer   int // tokens
-		patience time.Duration
-		status   int
+		path    string
+		answer  int // tokens
+		timeout time.Duration
+		status  int
 	}{
 		{"/stream/x", 60, 3 * time.Second, http.StatusOK},
 		{"/stream/x", 6000, 3 * time.Second, http.StatusServiceUnavailable},
@@ -94,9 +94,9 @@
 		{"/book/x", 0, 2900 * time.Millisecond, http.StatusOK}, // expected to take as long as the previous call
 		{"/look/x", 0, time.Second, http.StatusOK},
 	} {
-		id := fmt.Sprintf("%s, %d tokens, %s", one.path, one.answer, one.patience)
+		id := fmt.Sprintf("%s, %d tokens, %s", one.path, one.answer, one.timeout)
 		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), one.path, nil, platformtest.RequestInfo{
-			ID: id, Key: "key-1", Model: "m0", Timeout: one.patience, Prompt: 100, Answer: one.answer,
+			ID: id, Key: "key-1", Model: "m0", Timeout: one.timeout, Prompt: 100, Answer: one.answer,
 		})
 		require.NoError(t, err)
 		asked := time.Now()
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -157,7 +157,7 @@
 		lastEvent = strconv.FormatInt(c.lastID, 10)
 	}
 	c.sent.Add(1)
-	response, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forward(c.r, choice.Endpoint, lastEvent))
+	response, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forwardHeaders(c.r, choice.Endpoint, lastEvent))
 	if err != nil {
 		if redwinghall.KindOf[Kind](err) == NotSent {
 			c.failedDials++
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -122,7 +122,7 @@
 
 // Send sends one request to an endpoint, without retries. Cancelling ctx closes the
 // connection.
-func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.ForwardHeaders) (*Response, error) {
+func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, headers platform.ForwardHeaders) (*Response, error) {
 	var conn *countingConn
 	var before int64
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -131,7 +131,7 @@
 		}
 	}})
 	out := &http.Request{
-		Method: in.Method, Host: in.Host, Header: forward.Encode(in.Header),
+		Method: in.Method, Host: in.Host, Header: headers.Encode(in.Header),
 		URL:        endpointURL(to.Address, in.Target),
 		Proto:      "HTTP/1.1",
 		ProtoMajor: 1, ProtoMinor: 1,
@@ -145,8 +145,8 @@
 		}
 		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, err)
 	}
-	verdict := platform.DecodeResponseInfo(response.StatusCode, response.Header)
-	if verdict.RequestID != "" && verdict.RequestID != in.Info.ID {
+	info := platform.DecodeResponseInfo(response.StatusCode, response.Header)
+	if info.RequestID != "" && info.RequestID != in.Info.ID {
 		// An endpoint may send a late second response to an earlier request on a
 		// reused connection, in place of the next request's response. The echoed
 		// request id reveals it.
@@ -155,7 +155,7 @@
 	}
 	return &Response{
 		Status: response.StatusCode, Header: response.Header, Body: response.Body,
-		Length: response.ContentLength, Info: verdict,
+		Length: response.ContentLength, Info: info,
 	}, nil
 }
 
