--- a/gateway/place.go
+++ b/gateway/place.go
@@ -10,126 +10,125 @@
 	"redwinghall/fleet"
 )
 
-// chooseGroup chooses the group for a stream. Where another node dispatches for
-// this zone, it is asked first; without its answer this node chooses by what
-// it knows itself.
-func (c *streamCall) chooseGroup(ctx context.Context, now time.Time, ask balance.Request) (balance.Choice, *balance.Refusal) {
-	heads := c.r.view.Heads(c.r.Service.Name, c.r.Ask.Model)
-	if c.g.Placer == nil || !c.g.Placer.Dispatched(now) {
-		return c.chooseByZones(ctx, now, heads, ask)
+// chooseGroup chooses the group for a stream. If another node dispatches for this
+// zone, it is asked first; without its reply this node chooses from its own view.
+func (c *streamCall) chooseGroup(ctx context.Context, now time.Time, req balance.Request) (balance.Choice, *balance.Refusal) {
+	heads := c.r.view.Heads(c.r.Service.Name, c.r.Info.Model)
+	if c.g.Placer == nil || !c.g.Placer.HasDispatcher(now) {
+		return c.chooseByZones(ctx, now, heads, req)
 	}
-	placement, answered := c.dispatched(ctx, heads, ask)
+	placement, answered := c.askDispatcher(ctx, heads, req)
 	switch {
 	case placement.choice != nil:
 		return *placement.choice, nil
 	case answered:
-		ask = ask.WithOnlyZone(heads, placement.elsewhere)
-		ask.LimitedFor = placement.limitedFor
+		req = req.WithOnlyZone(heads, placement.alternativeZone)
+		req.LimitedFor = placement.limitedFor
 	}
-	return c.chooseByZones(ctx, time.Now(), heads, ask)
+	return c.chooseByZones(ctx, time.Now(), heads, req)
 }
 
-// dispatched is what the dispatcher of this zone said: its choice, or the zone that may
-// have room.
-type dispatched struct {
-	choice     *balance.Choice
-	elsewhere  string
-	limitedFor time.Duration
+// dispatcherChoice is the reply of the dispatcher of this zone: the chosen group, or
+// another zone that may have capacity.
+type dispatcherChoice struct {
+	choice          *balance.Choice
+	alternativeZone string
+	limitedFor      time.Duration
 }
 
-// dispatched asks the dispatcher of this zone for a group. It reports false if there was no
-// answer that this node can go by.
-func (c *streamCall) dispatched(ctx context.Context, heads []*fleet.Endpoint, ask balance.Request) (dispatched, bool) {
+// askDispatcher asks the dispatcher of this zone for a group. It reports false if
+// there was no usable reply.
+func (c *streamCall) askDispatcher(ctx context.Context, heads []*fleet.Endpoint, req balance.Request) (dispatcherChoice, bool) {
 	tickets := &c.g.Tracker.Tickets
 	ticket := tickets.Open()
 	defer tickets.Close(ticket)
-	request := c.placement(ask)
+	request := c.placementRequest(req)
 	request.Ticket, request.InBackoff = ticket, c.g.Tracker.InBackoff(time.Now(), heads)
-	placement, ok := c.g.Placer.Place(ctx, ask.Zone, request)
+	placement, ok := c.g.Placer.Place(ctx, req.Zone, request)
 	switch {
 	case !ok:
-		return dispatched{}, false
+		return dispatcherChoice{}, false
 	case placement.Endpoint == "":
-		klog.InfoS("dispatcher_has_no_room", "request", c.r.Ask.ID, "predicted", placement.Predicted, "elsewhere", placement.AlternativeZone,
+		klog.InfoS("dispatcher_has_no_room", "request", c.r.Info.ID, "predicted", placement.Predicted, "elsewhere", placement.AlternativeZone,
 			"limited_for", placement.LimitedFor)
-		// Without a prediction or a limit it knows of no group here. This node may, as
-		// their views differ for moments.
-		return dispatched{elsewhere: placement.AlternativeZone, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
+		// Without a prediction or a rate limit, the dispatcher knows of no group in
+		// this zone. This node may know of one, since views differ briefly.
+		return dispatcherChoice{alternativeZone: placement.AlternativeZone, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
 	}
 	now := time.Now()
-	placed, usable := c.offered(now, placement, ask)
+	placed, usable := c.placedEndpoint(now, placement, req)
 	if !usable {
-		return dispatched{}, false
+		return dispatcherChoice{}, false
 	}
-	choice := c.taken(now, placed, ask, placement)
-	return dispatched{choice: &choice}, true
+	choice := c.takePlacement(now, placed, req, placement)
+	return dispatcherChoice{choice: &choice}, true
 }
 
-// taken returns the choice that another node made for the stream.
-func (c *streamCall) taken(now time.Time, placed *fleet.Endpoint, ask balance.Request, placement fleet.Placement) balance.Choice {
-	choice := c.g.Tracker.AcceptChoice(now, placed, ask, placement.Predicted)
+// takePlacement returns the choice that another node made for the stream.
+func (c *streamCall) takePlacement(now time.Time, placed *fleet.Endpoint, req balance.Request, placement fleet.Placement) balance.Choice {
+	choice := c.g.Tracker.AcceptChoice(now, placed, req, placement.Predicted)
 	return choice.WithPermit(choice.Permitted || placement.Permitted)
 }
 
-// offered returns the endpoint of a placement, and whether this node may use
-// it. Where views differ, this node's own decides: it may know of a group that
-// turned cold or closed since.
-func (c *streamCall) offered(now time.Time, placement fleet.Placement, ask balance.Request) (*fleet.Endpoint, bool) {
+// placedEndpoint returns the endpoint of a placement, and whether this node may use
+// it. Where views differ, the view of this node decides: it may know of a group that
+// has become cold or closed since.
+func (c *streamCall) placedEndpoint(now time.Time, placement fleet.Placement, req balance.Request) (*fleet.Endpoint, bool) {
 	placed, known := c.r.view.Endpoints[placement.Endpoint]
-	return placed, known && !placed.ColdAt(now) && balance.Usable(&ask.Service, placed, c.r.view.ZonesOut)
+	return placed, known && !placed.ColdAt(now) && balance.Usable(&req.Service, placed, c.r.view.ZonesOut)
 }
 
-// chooseByZones chooses a group by what this node knows. Before a stream goes
-// to another zone, that zone is asked, as it knows its groups' load and this
-// node knows it late; a zone that has no room is left out, and the choice made
-// again.
+// chooseByZones chooses a group from this node's own view. Before a stream goes to
+// another zone, that zone is asked, since it has current load figures for its groups
+// while those of this node are delayed. A zone without capacity is excluded, and the
+// choice is repeated.
 //
-// Guard: a zone that gives no answer is mostly cut off, and a stream that is sent
-// there waits for a connection that never comes. So it is used only where no other
-// zone takes the stream.
-func (c *streamCall) chooseByZones(ctx context.Context, now time.Time, heads []*fleet.Endpoint, ask balance.Request) (balance.Choice, *balance.Refusal) {
+// A zone that does not respond is usually partitioned, and a stream sent there waits
+// for a connection that is never established. So such a zone is used only if no other
+// zone accepts the stream.
+func (c *streamCall) chooseByZones(ctx context.Context, now time.Time, heads []*fleet.Endpoint, req balance.Request) (balance.Choice, *balance.Refusal) {
 	view := c.r.view
 	var unanswered *balance.Choice
 	for {
-		choice, none := c.g.Tracker.ChooseGroup(now, heads, view.ZonesOut, ask)
-		if none != nil && unanswered != nil {
-			return c.g.Tracker.AcceptChoice(now, unanswered.Endpoint, ask, unanswered.Predicted), nil
+		choice, refused := c.g.Tracker.ChooseGroup(now, heads, view.ZonesOut, req)
+		if refused != nil && unanswered != nil {
+			return c.g.Tracker.AcceptChoice(now, unanswered.Endpoint, req, unanswered.Predicted), nil
 		}
-		if none != nil || c.g.Placer == nil || choice.Endpoint.Zone == ask.Zone || choice.Endpoint.ColdAt(now) {
-			return choice, none
+		if refused != nil || c.g.Placer == nil || choice.Endpoint.Zone == req.Zone || choice.Endpoint.ColdAt(now) {
+			return choice, refused
 		}
-		placement, ok := c.g.Placer.Place(ctx, choice.Endpoint.Zone, c.placement(ask))
+		placement, ok := c.g.Placer.Place(ctx, choice.Endpoint.Zone, c.placementRequest(req))
 		now = time.Now()
-		placed, usable := c.offered(now, placement, ask)
+		placed, usable := c.placedEndpoint(now, placement, req)
 		switch {
 		case !ok:
 			choice.Attempt.Cancel()
 			if unanswered == nil {
 				unanswered = &choice
 			}
-			ask = ask.WithZoneFull(choice.Endpoint.Zone)
+			req = req.WithZoneFull(choice.Endpoint.Zone)
 		case placement.Endpoint == "":
-			klog.InfoS("zone_has_no_room", "request", c.r.Ask.ID, "zone", choice.Endpoint.Zone, "there", placement.Predicted,
+			klog.InfoS("zone_has_no_room", "request", c.r.Info.ID, "zone", choice.Endpoint.Zone, "there", placement.Predicted,
 				"predicted_here", choice.Predicted, "load_age", choice.Age)
 			choice.Attempt.Cancel()
-			ask = ask.WithZoneFull(choice.Endpoint.Zone)
+			req = req.WithZoneFull(choice.Endpoint.Zone)
 		case !usable:
 			return choice, nil
 		case placed.ID == choice.Endpoint.ID:
 			return choice.WithPermit(choice.Permitted || placement.Permitted), nil
 		default:
 			choice.Attempt.Cancel()
-			return c.taken(now, placed, ask, placement), nil
+			return c.takePlacement(now, placed, req, placement), nil
 		}
 	}
 }
 
-// placement returns what a zone needs to know of the stream.
-func (c *streamCall) placement(ask balance.Request) fleet.PlacementRequest {
+// placementRequest returns the request by which a zone is asked to place the stream.
+func (c *streamCall) placementRequest(req balance.Request) fleet.PlacementRequest {
 	request := fleet.PlacementRequest{
-		Service: ask.Service.Name, Model: ask.Model.Name, Prompt: ask.Prompt, Objective: ask.Objective, Resumed: ask.Resumed,
+		Service: req.Service.Name, Model: req.Model.Name, Prompt: req.Prompt, Objective: req.Objective, Resumed: req.Resumed,
 	}
-	for id := range ask.Tried {
+	for id := range req.Tried {
 		request.Tried = append(request.Tried, id)
 	}
 	return request
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -18,113 +18,116 @@
 )
 
 const (
-	// silenceLimit is how long nothing may move in a group before its streams
-	// go on elsewhere: longer than a pass that reads prompts at every step, and
-	// short enough that callers have not left yet.
-	silenceLimit = 700 * time.Millisecond
-	// silenceCheck is how often that is looked at.
-	silenceCheck = 100 * time.Millisecond
-	// plainPauses is how many of the longest good pauses a plain service's
-	// stream may be silent.
-	plainPauses = 6
+	// minStallTimeout is how long a group may make no progress before its streams
+	// resume elsewhere. It is longer than an engine pass that processes prompts at
+	// every step, and short enough that callers have not disconnected yet.
+	minStallTimeout = 700 * time.Millisecond
+	// stallCheckInterval is the minimum time between two checks for a stall.
+	stallCheckInterval = 100 * time.Millisecond
+	// plainStallPauses is the stall timeout of a plain service's stream, in multiples
+	// of the route's pause objective.
+	plainStallPauses = 6
 )
 
-var errStalled = errors.New("nothing moves in the group")
+var errStalled = errors.New("the group makes no progress")
 
-// streamCall is the progress of one stream.
+// streamCall is the state of one stream.
 type streamCall struct {
-	g     *Gateway
-	r     *Request
-	w     http.ResponseWriter
-	flush *http.ResponseController
-	tried map[string]bool
-	sent  atomic.Int64 // groups that may have seen the request
-	dials int
-	// mayHaveRun says that a group may have run the request, or be running it.
-	mayHaveRun bool
-	begun      bool  // the caller has the headers
-	lastID     int64 // of the last event that the caller has
-	hasID      bool
-	started    time.Time // of the first event
-	slowest    time.Duration
-	last       time.Time
+	g           *Gateway
+	r           *Request
+	w           http.ResponseWriter
+	flush       *http.ResponseController
+	tried       map[string]bool
+	sent        atomic.Int64 // attempts whose request may have reached a group
+	failedDials int
+	// mayHaveRun is true if a group may have executed the request or may still be
+	// executing it.
+	mayHaveRun   bool
+	headersSent  bool  // the response headers were sent to the caller
+	lastID       int64 // id of the last event sent to the caller, valid if hasID
+	hasID        bool
+	firstEventAt time.Time // when the first event arrived
+	longestPause time.Duration
+	lastEventAt  time.Time
 }
 
-// serveStream answers a request by a series of events.
+// serveStream handles a request whose response is a stream of events.
 func (g *Gateway) serveStream(ctx context.Context, w http.ResponseWriter, r *Request) {
 	call := &streamCall{g: g, r: r, w: w, flush: http.NewResponseController(w), tried: map[string]bool{}}
-	if id, err := strconv.ParseInt(r.Ask.LastEvent, 10, 64); err == nil {
+	if id, err := strconv.ParseInt(r.Info.LastEvent, 10, 64); err == nil {
 		call.lastID, call.hasID = id, true
 	}
 	for {
-		choice, none := call.choose(ctx)
-		if none != nil && g.awaitEndpoints(ctx, time.Now(), none) {
-			r.view = g.Book.View()
+		choice, refused := call.choose(ctx)
+		if refused != nil && g.awaitEndpoints(ctx, time.Now(), refused) {
+			r.view = g.Cache.View()
 			continue
 		}
-		if none != nil {
-			call.refuse(g.refusalOfNone(none))
+		if refused != nil {
+			call.refuse(g.noEndpointRefusal(refused))
 			return
 		}
-		if now, stop := time.Now(), g.stop(); !call.begun && !stop.Takes(now, choice.Expected, r.Deadline) {
+		if now, stop := time.Now(), g.stop(); !call.headersSent && !stop.Accepts(now, choice.Expected, r.Deadline) {
 			choice.Attempt.Cancel()
 			call.refuse(stop.refusal(now, choice.Expected))
 			return
 		}
-		last := call.once(ctx, choice)
+		last := call.attempt(ctx, choice)
 		if last.done {
 			return
 		}
-		if !call.again(ctx, last) {
+		if !call.shouldRetry(ctx, last) {
 			call.giveUp(ctx)
 			return
 		}
-		r.view = g.Book.View()
+		r.view = g.Cache.View()
 	}
 }
 
-// choose returns the endpoint for the stream: the head of a group that serves
-// its model, or an endpoint of a plain service.
+// choose returns the endpoint for the stream: the head of a group that serves its
+// model, or an endpoint of a plain service.
 func (c *streamCall) choose(ctx context.Context) (balance.Choice, *balance.Refusal) {
-	ask := c.g.ask(c.r, c.tried)
-	ask.Resumed = c.sent.Load() > 0
+	req := c.g.balanceRequest(c.r, c.tried)
+	req.Resumed = c.sent.Load() > 0
 	if c.r.Service.Engine == nil {
-		return c.g.choosePlain(ctx, c.r, ask)
+		return c.g.choosePlain(ctx, c.r, req)
 	}
 	return c.g.withinLimits(ctx, c.r, func(now time.Time) (balance.Choice, *balance.Refusal) {
-		return c.chooseGroup(ctx, now, ask)
+		return c.chooseGroup(ctx, now, req)
 	})
 }
 
-// silenceOf returns how long nothing may move before the stream goes on
-// elsewhere. Of plain services only the pause is known that operators want.
-func (c *streamCall) silenceOf() time.Duration {
+// stallTimeout returns how long the endpoint may make no progress before the stream
+// resumes elsewhere. For plain services it is derived from the route's pause
+// objective, as nothing else is known of their pace.
+func (c *streamCall) stallTimeout() time.Duration {
 	if c.r.Service.Engine != nil {
-		return silenceLimit
+		return minStallTimeout
 	}
-	return max(silenceLimit, plainPauses*c.r.Route.PauseObjective)
+	return max(minStallTimeout, plainStallPauses*c.r.Route.PauseObjective)
 }
 
-// streamTry is how one attempt of a stream ended.
-type streamTry struct {
-	done   bool // the caller has its whole answer
+// streamAttempt is the result of one attempt of a stream.
+type streamAttempt struct {
+	done   bool // the caller has the complete response
 	notRun bool
-	// paid says that the retry budget was already asked for the next attempt.
-	paid   bool
-	err    error
-	answer *Answer
+	// retryCharged is true if the retry budget was already charged for the next
+	// attempt.
+	retryCharged bool
+	err          error
+	response     *Response
 }
 
-// once sends the stream to one group and passes on what comes back.
-func (c *streamCall) once(ctx context.Context, choice balance.Choice) streamTry {
+// attempt sends the request to one group and relays its response.
+func (c *streamCall) attempt(ctx context.Context, choice balance.Choice) streamAttempt {
 	c.tried[choice.Endpoint.ID] = true
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var stalled atomic.Bool
-	stop := c.watch(choice, func() { stalled.Store(true); cancel(errStalled) })
+	stop := c.watchStall(choice, func() { stalled.Store(true); cancel(errStalled) })
 	last := c.exchange(ctx, choice)
 	stop()
-	last.paid = stalled.Load()
+	last.retryCharged = stalled.Load()
 	c.mayHaveRun = c.mayHaveRun || redwinghall.KindOf[Kind](last.err) == Unknown
 	ok := last.err == nil && !last.notRun
 	now := time.Now()
@@ -132,122 +135,124 @@
 	switch {
 	case redwinghall.KindOf[Kind](last.err) == NotSent && ctx.Err() == nil:
 		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
-		c.g.Stalled(choice.Endpoint.ID)
+		c.g.ReportStall(choice.Endpoint.ID)
 	case last.notRun && c.r.Service.Engine != nil:
-		// Guard: while the store is away, a head whose group has closed looks open here,
-		// and emptier than all others. Streams would go there first, one after the
-		// other, and have no second try left.
+		// While the store is unreachable, the head of a closed group still looks open
+		// here, and less loaded than all others. Streams would be sent to it one
+		// after the other and use up their only retry.
 		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	}
 	if !ok {
-		klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
+		klog.InfoS("attempt_failed", "request", c.r.Info.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
 			"group", choice.Endpoint.Member.Group, "kind", redwinghall.KindOf[Kind](last.err), "not_run", last.notRun,
 			"stalled", stalled.Load(), "last_event", c.lastID, "running", choice.Running, "predicted", choice.Predicted, "err", last.err)
 	}
 	return last
 }
 
-// exchange sends the request and relays the answer's events.
-func (c *streamCall) exchange(ctx context.Context, choice balance.Choice) streamTry {
+// exchange sends the request and relays the events of the response.
+func (c *streamCall) exchange(ctx context.Context, choice balance.Choice) streamAttempt {
 	lastEvent := ""
 	if c.hasID {
 		lastEvent = strconv.FormatInt(c.lastID, 10)
 	}
 	c.sent.Add(1)
-	answer, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forward(c.r, choice.Endpoint, lastEvent))
+	response, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forwardHeaders(c.r, choice.Endpoint, lastEvent))
 	if err != nil {
 		if redwinghall.KindOf[Kind](err) == NotSent {
-			c.dials++
+			c.failedDials++
 			c.sent.Add(-1)
 		}
-		return streamTry{err: err}
+		return streamAttempt{err: err}
 	}
-	defer func() { _ = answer.Body.Close() }()
-	c.g.noteLimit(c.r, choice, answer)
-	if answer.Verdict.Load.Known {
-		choice.Attempt.RecordLoad(time.Now(), answer.Verdict.Load.Running+answer.Verdict.Load.Waiting)
+	defer func() { _ = response.Body.Close() }()
+	c.g.recordLimit(c.r, choice, response)
+	if response.Info.Load.Known {
+		choice.Attempt.RecordLoad(time.Now(), response.Info.Load.Running+response.Info.Load.Waiting)
 	}
 	switch {
-	case answer.Verdict.NotRun:
-		return streamTry{notRun: true, answer: answer}
-	case answer.Status != http.StatusOK:
-		return c.passFailure(answer)
-	case !answer.Verdict.Signed || answer.Verdict.RequestID != c.r.Ask.ID || answer.Verdict.Encoded:
-		return streamTry{err: redwinghall.NewOpError("streamCall.exchange", Unknown, errWrongAnswer)}
+	case response.Info.NotRun:
+		return streamAttempt{notRun: true, response: response}
+	case response.Status != http.StatusOK:
+		return c.forwardFailure(response)
+	case !response.Info.Signed || response.Info.RequestID != c.r.Info.ID || response.Info.Encoded:
+		return streamAttempt{err: redwinghall.NewOpError("streamCall.exchange", Unknown, errWrongResponse)}
 	}
-	c.begin(answer)
-	err = c.relay(choice, answer)
+	c.sendHeaders(response)
+	err = c.relay(choice, response)
 	if err != nil {
-		return streamTry{err: redwinghall.NewOpError("streamCall.exchange", Unknown, err)}
+		return streamAttempt{err: redwinghall.NewOpError("streamCall.exchange", Unknown, err)}
 	}
-	first, took := c.started.Sub(c.r.Arrived), time.Since(c.r.Arrived)
-	klog.InfoS("streamed", "request", c.r.Ask.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "zone", choice.Endpoint.Zone,
-		"running", choice.Running, "load_age", choice.Age, "predicted", choice.Predicted, "first", first, "expected", choice.Expected, "pause", c.slowest,
-		"took", took, "attempts", c.sent.Load(), "configuration", c.r.version())
-	c.g.Metrics.Streamed(c.r, first, c.slowest, took)
-	return streamTry{done: true}
+	first, took := c.firstEventAt.Sub(c.r.Arrived), time.Since(c.r.Arrived)
+	klog.InfoS("streamed", "request", c.r.Info.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "zone", choice.Endpoint.Zone,
+		"running", choice.Running, "load_age", choice.Age, "predicted", choice.Predicted, "first", first, "expected", choice.Expected, "pause", c.longestPause,
+		"took", took, "attempts", c.sent.Load(), "configuration", c.r.configVersion())
+	c.g.Metrics.Streamed(c.r, first, c.longestPause, took)
+	return streamAttempt{done: true}
 }
 
-// passFailure hands an endpoint's own failure to the caller, unless a second
-// try may do better.
-func (c *streamCall) passFailure(answer *Answer) streamTry {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, wholeAnswer))
-	if err != nil || c.begun || promises(answer.Status) || answer.Status < http.StatusMultipleChoices {
-		return streamTry{err: redwinghall.NewOpError("streamCall.passFailure", Unknown, errors.Join(errUnusable, err))}
+// forwardFailure forwards an endpoint's error response to the caller, unless a retry
+// may succeed.
+func (c *streamCall) forwardFailure(response *Response) streamAttempt {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse))
+	if err != nil || c.headersSent || statusMeansNotRun(response.Status) || response.Status < http.StatusMultipleChoices {
+		return streamAttempt{err: redwinghall.NewOpError("streamCall.forwardFailure", Unknown, errors.Join(errEndpointFailed, err))}
 	}
-	if answer.Status >= http.StatusInternalServerError && c.r.Idempotent() && c.sent.Load() < int64(c.r.Route.MaxAttempts) {
-		return streamTry{err: redwinghall.NewOpError("streamCall.passFailure", Unknown, errUnusable)}
+	if response.Status >= http.StatusInternalServerError && c.r.Idempotent() && c.sent.Load() < int64(c.r.Route.MaxAttempts) {
+		return streamAttempt{err: redwinghall.NewOpError("streamCall.forwardFailure", Unknown, errEndpointFailed)}
 	}
-	c.g.pass(c.w, c.r, try{answer: answer, body: body})
-	return streamTry{done: true}
+	c.g.forwardResponse(c.w, c.r, plainAttempt{response: response, body: body})
+	return streamAttempt{done: true}
 }
 
-var errUnusable = errors.New("the endpoint failed the request")
+var errEndpointFailed = errors.New("the endpoint failed the request")
 
-// begin sends the first endpoint's headers; a later one's are left out.
-func (c *streamCall) begin(answer *Answer) {
-	if c.begun {
+// sendHeaders sends the response headers of the first endpoint; those of later
+// endpoints are dropped.
+func (c *streamCall) sendHeaders(response *Response) {
+	if c.headersSent {
 		return
 	}
-	c.begun = true
-	platform.CopyResponseHeaders(c.w.Header(), answer.Header)
-	c.w.WriteHeader(answer.Status)
+	c.headersSent = true
+	platform.CopyResponseHeaders(c.w.Header(), response.Header)
+	c.w.WriteHeader(response.Status)
 }
 
-// relay passes events on until the answer ends. The error is nil only if it
-// ended whole.
-func (c *streamCall) relay(choice balance.Choice, answer *Answer) error {
-	events := newEventSplitter(answer.Body)
-	pace := c.usualPause()
+// relay forwards events until the response ends. The error is nil only if the
+// response was complete.
+func (c *streamCall) relay(choice balance.Choice, response *Response) error {
+	events := newEventSplitter(response.Body)
+	pace := c.predictedPause()
 	for {
 		event, err := events.next()
 		if errors.Is(err, io.EOF) {
-			return c.flushed()
+			return c.flushEvents()
 		}
 		if err != nil {
 			return err
 		}
 		now := time.Now()
 		choice.Attempt.RecordEvent(now, pace)
-		if c.seen(event) {
+		if c.alreadySent(event) {
 			continue
 		}
-		c.noteTimes(now)
+		c.recordEventTime(now)
 		if _, err := c.w.Write(event); err != nil {
 			return err
 		}
 		if !events.buffered() {
-			if err := c.flushed(); err != nil {
+			if err := c.flushEvents(); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-func (c *streamCall) flushed() error { return c.flush.Flush() }
+func (c *streamCall) flushEvents() error { return c.flush.Flush() }
 
-// seen reports whether the caller already has an event, and notes it otherwise.
-func (c *streamCall) seen(event []byte) bool {
+// alreadySent reports whether the caller already has an event. If not, it records the
+// id of the event as the last one sent.
+func (c *streamCall) alreadySent(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
 		return false
@@ -259,22 +264,23 @@
 	return false
 }
 
-func (c *streamCall) noteTimes(now time.Time) {
-	if c.started.IsZero() {
-		c.started = now
+func (c *streamCall) recordEventTime(now time.Time) {
+	if c.firstEventAt.IsZero() {
+		c.firstEventAt = now
 	} else {
-		c.slowest = max(c.slowest, now.Sub(c.last))
+		c.longestPause = max(c.longestPause, now.Sub(c.lastEventAt))
 	}
-	c.last = now
+	c.lastEventAt = now
 }
 
-// usualPause returns the pause between events that the engine's figures
-// predict for a number of running requests.
-func (c *streamCall) usualPause() func(int) time.Duration {
+// predictedPause returns a function that predicts the pause between events for a
+// number of running requests from the engine's parameters. It is nil if the service
+// has no engine or the model is unknown.
+func (c *streamCall) predictedPause() func(int) time.Duration {
 	if c.r.Service.Engine == nil {
 		return nil
 	}
-	model, ok := c.r.Service.Engine.Model(c.r.Ask.Model)
+	model, ok := c.r.Service.Engine.Model(c.r.Info.Model)
 	if !ok {
 		return nil
 	}
@@ -282,29 +288,29 @@
 	return func(running int) time.Duration { return pace.Pass(running, 0) }
 }
 
-// again reports whether another group may get the stream.
-func (c *streamCall) again(ctx context.Context, last streamTry) bool {
+// shouldRetry reports whether the stream may be sent to another group.
+func (c *streamCall) shouldRetry(ctx context.Context, last streamAttempt) bool {
 	now := time.Now()
 	switch {
 	case ctx.Err() != nil:
 		return false
 	case redwinghall.KindOf[Kind](last.err) == NotSent:
-		return c.dials < maxDials && c.r.Left(now) > leastLeft
+		return c.failedDials < maxDials && c.r.Left(now) > minRemaining
 	case last.notRun:
 		return c.g.mayRetry(c.r, int(c.sent.Load()), now)
 	case !c.resumable():
 		return false
 	}
-	return last.paid || c.g.mayRetry(c.r, int(c.sent.Load()), now)
+	return last.retryCharged || c.g.mayRetry(c.r, int(c.sent.Load()), now)
 }
 
-// resumable reports whether the stream may go on at another group from where
-// the caller is.
+// resumable reports whether another group can continue the stream after the last
+// event that the caller has.
 func (c *streamCall) resumable() bool {
-	return c.r.Route.Kind == fleet.Streaming && c.r.Route.Resumable && (!c.begun || c.hasID || c.started.IsZero())
+	return c.r.Route.Kind == fleet.Streaming && c.r.Route.Resumable && (!c.headersSent || c.hasID || c.firstEventAt.IsZero())
 }
 
-// giveUp ends a stream that no endpoint will finish.
+// giveUp ends a stream that no endpoint can complete.
 func (c *streamCall) giveUp(ctx context.Context) {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -312,24 +318,24 @@
 	case ctx.Err() != nil:
 		c.refuse(refusal{status: http.StatusGatewayTimeout, reason: "timeout"})
 	case !c.mayHaveRun:
-		c.refuse(refusal{status: http.StatusServiceUnavailable, reason: "endpoint_busy", retryAfter: retryUnknown})
+		c.refuse(refusal{status: http.StatusServiceUnavailable, reason: "endpoint_busy", retryAfter: defaultRetryAfter})
 	default:
 		c.refuse(refusal{status: http.StatusBadGateway, reason: "stream_lost"})
 	}
 }
 
-// refuse answers the caller, or breaks its stream off if it has begun: an
-// answer that ends early must not look complete.
+// refuse sends an error response, or aborts the connection if the response has begun:
+// a truncated stream must not look complete.
 func (c *streamCall) refuse(why refusal) {
-	if c.begun {
+	if c.headersSent {
 		now := time.Now()
-		klog.InfoS("stream_broken_off", "request", c.r.Ask.ID, "reason", why.reason, "last_event", c.lastID, "attempts", c.sent.Load(),
+		klog.InfoS("stream_broken_off", "request", c.r.Info.ID, "reason", why.reason, "last_event", c.lastID, "attempts", c.sent.Load(),
 			"attempts_allowed", c.r.Route.MaxAttempts, "left", c.r.Left(now), "held", now.Sub(c.r.Arrived))
 		c.g.Metrics.Refused(c.r, why)
 		panic(http.ErrAbortHandler)
 	}
 	if c.mayHaveRun && why.status == http.StatusServiceUnavailable {
-		why.status = http.StatusBadGateway // 503 would say that it has not run
+		why.status = http.StatusBadGateway // 503 would guarantee that it was not executed
 	}
 	c.g.refuse(c.w, c.r, why)
 }
