--- a/formation/convert.go
+++ b/formation/convert.go
@@ -25,7 +25,7 @@
 	if p.zone.Startup || len(p.closingGroups) > 0 {
 		return
 	}
-	for _, g := range p.openable { // closed to be converted, and no longer counted in serving
+	for _, g := range p.openable { // includes groups closed for conversion, which serving no longer counts
 		if to, ok := p.bestSmallerModel(g.model, p.serving[g.model.Name]+g.size()); ok && !p.dismantled[g.name] && g.unfit() == 0 && p.hasStaged(g, to) {
 			p.dismantle(g, "convert_to_"+to.Name)
 			return
--- a/formation/convert_test.go
+++ b/formation/convert_test.go
@@ -52,23 +52,23 @@
 // would be converted right away. Without spare capacity it is rebuilt.
 func TestGroupWithSpareCapacityIsNotRebuilt(t *testing.T) {
 	for name, c := range map[string]struct {
-		demand map[string]float64
-		taken  int
+		demand     map[string]float64
+		dismantled int
 	}{
-		"places to spare":    {map[string]float64{"large": 20, "small": 200}, 0},
-		"none":               {map[string]float64{"large": 50, "small": 100}, 1},
-		"demand isn't known": {nil, 1},
+		"spare capacity":    {map[string]float64{"large": 20, "small": 200}, 0},
+		"no spare capacity": {map[string]float64{"large": 50, "small": 100}, 1},
+		"unknown demand":    {nil, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			zone := pairsZone()
 			zone.Demand = c.demand
-			taken := 0
+			dismantled := 0
 			for _, step := range zone.Plan(time.Unix(1000, 0)) {
 				if step.Order.Kind == fleet.OrderClose && step.Why == "gather_for_large" {
-					taken++
+					dismantled++
 				}
 			}
-			require.Equal(t, c.taken, taken)
+			require.Equal(t, c.dismantled, dismantled)
 		})
 	}
 }
--- a/formation/demand.go
+++ b/formation/demand.go
@@ -19,7 +19,7 @@
 // demand tracks the smoothed number of requests in the groups of each model of a zone.
 type demand struct {
 	requests map[string]float64
-	since    time.Time // when the first request arrived
+	since    time.Time // of the first reading, soon after the first request
 	at       time.Time
 }
 
@@ -44,7 +44,8 @@
 	}
 }
 
-// updateDemand returns the smoothed demand of a zone, or nil while it is not known yet.
+// updateDemand adds a reading to the smoothed demand of a zone and returns it, or nil
+// before the first request and for demandWindow after the first reading.
 func (m *Manager) updateDemand(now time.Time, z *Zone, zone string) map[string]float64 {
 	if !m.TrafficStarted() {
 		return nil
--- a/formation/endpoint_state.go
+++ b/formation/endpoint_state.go
@@ -6,7 +6,8 @@
 	"redwinghall/fleet"
 )
 
-// trackEndpoint returns the worker of an endpoint, with the state kept about it.
+// trackEndpoint updates the state of an endpoint that has an entry, and returns its
+// worker.
 func (m *Manager) trackEndpoint(now time.Time, e *fleet.Endpoint) *Worker {
 	n, ok := m.endpoints[e.ID]
 	if !ok || n.startedMillis != e.StartedMillis {
--- a/formation/era_test.go
+++ b/formation/era_test.go
@@ -22,10 +22,10 @@
 		for _, w := range f.workers {
 			before = max(before, w.Member.Epoch)
 		}
-		n.holds = false
+		n.holdsLease = false
 		next := manage(f, false)
 		defer next.stop(t)
-		next.begun, next.era, next.version = true, 1, 3
+		next.trafficStarted, next.era, next.version = true, 1, 3
 		member, head := memberOf(f, "small", 1)
 		f.kill(member, true)
 		next.manager.ReportStall(t.Context(), head)
--- a/formation/fakezone_test.go
+++ b/formation/fakezone_test.go
@@ -23,14 +23,15 @@
 	workers       map[string]*fakeEndpoint
 	ready         map[string]map[string]bool // endpoints that were ever ready, by group
 	violations    []string                   // violated invariants
-	doubleMembers []string                   // those in which a VM was in two groups
+	doubleMembers []string                   // violations in which a VM was in two groups
 	joins         int                        // accepted join orders
 	left          int                        // accepted leave orders
 	loads         int
 	reports       int   // requested reports
 	leases        int64 // acquired leases
 	random        *rand.Rand
-	// lossRate is the share of orders that get no answer and are carried out late.
+	// lossRate is the share of orders that get no answer and are carried out 2 to 12 s
+	// later.
 	lossRate float64
 	// repeatRate is the share of orders that are carried out a second time, late.
 	repeatRate float64
@@ -149,7 +150,7 @@
 type follower struct {
 	cache *directory.Cache
 	due   time.Time // when the last change in flight arrives
-	// extraLag is the delay on top of a lease holder's.
+	// extraLag is the delay in addition to that of a lease holder's copy.
 	extraLag time.Duration
 }
 
@@ -336,8 +337,8 @@
 	return true
 }
 
-// replace ends an endpoint whose address then times out; later another one starts at
-// that address.
+// replace ends an endpoint. Its address times out, and 5 s later another endpoint starts
+// at that address.
 func (f *fakeZone) replace(id, by string) {
 	f.kill(id, true)
 	time.AfterFunc(5*time.Second, func() {
--- a/formation/form.go
+++ b/formation/form.go
@@ -13,7 +13,7 @@
 	domain  string
 	model   fleet.Model
 	members []*Worker
-	time    time.Duration // until the last member has joined; estimated
+	time    time.Duration // estimated time until the last member has joined
 	worth   float64
 }
 
--- a/formation/gather.go
+++ b/formation/gather.go
@@ -8,8 +8,8 @@
 	"redwinghall/fleet"
 )
 
-// closeTime is the estimated time that a dismantled group needs to finish its streams,
-// as counted against rebuilding another group from its members.
+// closeTime is the estimated time that a dismantled group needs to finish its streams.
+// It reduces the worth of the group that is rebuilt from its members.
 const closeTime = 2 * time.Second
 
 // gather completes groups that lost members with the members of smaller models' groups
@@ -58,13 +58,13 @@
 // joinRebuilt forms a group from workers some of which served another model, unless
 // they are worth more there.
 func (p *planner) joinRebuilt(domain string, model fleet.Model, rest []*Worker) {
-	given := map[string]int{}
+	donated := map[string]int{}
 	for _, w := range rest {
 		if w.LastModel != "" && w.LastModel != model.Name {
-			given[w.LastModel]++
+			donated[w.LastModel]++
 		}
 	}
-	if len(given) == 0 || !p.worthDismantling(model, given, given) {
+	if len(donated) == 0 || !p.worthDismantling(model, donated, donated) {
 		return
 	}
 	next := &proposal{domain: domain, model: model, members: listedFirst(rest)}
@@ -96,21 +96,22 @@
 
 // dismantleDonors closes groups of a domain so that their members can join a group of a
 // larger model. It reports whether it found enough groups that are worth less as they
-// are. about is the number of VMs that the model would lose otherwise.
-func (p *planner) dismantleDonors(domain string, model fleet.Model, missing, about int) bool {
+// are. expectedLoss is the number of VMs that the larger model loses without a
+// replacement.
+func (p *planner) dismantleDonors(domain string, model fleet.Model, missing, expectedLoss int) bool {
 	var chosen []*group
-	given := map[string]int{}
+	donated := map[string]int{}
 	for _, g := range p.donors(domain, model) {
 		if missing <= 0 {
 			break
 		}
 		chosen = append(chosen, g)
-		given[g.model.Name] += g.size()
+		donated[g.model.Name] += g.size()
 		missing -= g.size()
 	}
-	p.serving[model.Name] -= about
-	worth := missing <= 0 && p.worthDismantling(model, given, nil)
-	p.serving[model.Name] += about
+	p.serving[model.Name] -= expectedLoss
+	worth := missing <= 0 && p.worthDismantling(model, donated, nil)
+	p.serving[model.Name] += expectedLoss
 	if !worth {
 		return false
 	}
@@ -132,13 +133,13 @@
 }
 
 // worthDismantling reports whether one more group of a model adds more to the balanced
-// supply than the VMs in given contribute to their present models. The VMs in out no
-// longer count as serving and are added back.
-func (p *planner) worthDismantling(model fleet.Model, given, out map[string]int) bool {
+// supply than the VMs in donated contribute to their present models. p.serving no longer
+// counts the VMs in notServing, so they are added back.
+func (p *planner) worthDismantling(model fleet.Model, donated, notServing map[string]int) bool {
 	loss := 0.0
 	for _, m := range p.zone.Engine.Models {
-		if n := given[m.Name]; n > 0 {
-			held := p.serving[m.Name] + out[m.Name]
+		if n := donated[m.Name]; n > 0 {
+			held := p.serving[m.Name] + notServing[m.Name]
 			loss += p.supply(m, held) - p.supply(m, held-n)
 		}
 	}
--- a/formation/gather_test.go
+++ b/formation/gather_test.go
@@ -33,7 +33,7 @@
 		n := manage(f, true)
 		defer n.stop(t)
 		time.Sleep(60 * time.Second)
-		n.begun = true
+		n.trafficStarted = true
 		require.Len(t, f.servingHeads("large"), 3)
 		require.Len(t, f.servingHeads("small"), 15)
 		run(t, f, n)
@@ -42,7 +42,7 @@
 }
 
 // failTwoMembers makes two members of a group of the large model permanently
-// unresponsive, and reports the stall after a while, as callers notice it.
+// unresponsive, and reports the stall 700 ms later, when callers would notice it.
 func failTwoMembers(f *fakeZone, n *node, which int) {
 	heads := f.servingHeads("large")
 	sort.Slice(heads, func(i, j int) bool { return heads[i].Domain < heads[j].Domain })
--- a/formation/group.go
+++ b/formation/group.go
@@ -6,26 +6,26 @@
 	"redwinghall/fleet"
 )
 
-// group holds the known members of one group.
+// group holds the members of one group that the zone's workers include.
 type group struct {
-	name    string
-	epoch   int64
-	model   fleet.Model
-	known   bool
-	standby bool
-	byRank  map[int]*Worker
+	name       string
+	epoch      int64
+	model      fleet.Model
+	modelKnown bool
+	standby    bool
+	byRank     map[int]*Worker
 }
 
 func (g *group) head() *Worker { return g.byRank[0] }
 
-// headReachable reports whether the head is known and not known to be unresponsive.
+// headReachable reports whether the group has a head that is neither suspect nor silent.
 func (g *group) headReachable() bool {
 	head := g.head()
 	return head != nil && !head.Suspect && !head.Silent
 }
 
-// evidence returns what is known about whether the group still serves. The caller adds
-// the fields of a single member.
+// evidence returns the evidence on whether the group still serves. The caller sets the
+// fields that differ between members.
 func (g *group) evidence(z *Zone) Evidence {
 	e := Evidence{Standby: g.standby, History: z.History(g.name)}
 	if head := g.head(); head != nil {
@@ -34,7 +34,8 @@
 	return e
 }
 
-// complete reports whether every member is known and usable.
+// complete reports whether every member is present and usable, and the group's model is
+// configured.
 func (g *group) complete() bool {
 	for rank := range g.size() {
 		w := g.byRank[rank]
@@ -42,7 +43,7 @@
 			return false
 		}
 	}
-	return g.known
+	return g.modelKnown
 }
 
 func (g *group) size() int {
@@ -71,7 +72,7 @@
 			return false
 		}
 	}
-	return g.known
+	return g.modelKnown
 }
 
 // endpoints returns the members of a complete group in rank order.
@@ -115,8 +116,8 @@
 	return n
 }
 
-// ready reports whether every member's own entry says that it is ready under the
-// group's name and epoch.
+// ready reports whether every member's own entry shows it as ready under the group's
+// name and epoch.
 func (g *group) ready() bool {
 	for rank := range g.size() {
 		w := g.byRank[rank]
@@ -138,7 +139,7 @@
 		if !ok {
 			name, standby := parseName(w.Member.Group)
 			model, known := z.Engine.Model(name)
-			g = &group{name: w.Member.Group, epoch: w.Member.Epoch, model: model, known: known, standby: standby, byRank: map[int]*Worker{}}
+			g = &group{name: w.Member.Group, epoch: w.Member.Epoch, model: model, modelKnown: known, standby: standby, byRank: map[int]*Worker{}}
 			byName[g.name] = g
 		}
 		if w.Member.Epoch > g.epoch {
--- a/formation/group_state.go
+++ b/formation/group_state.go
@@ -23,7 +23,7 @@
 	return g
 }
 
-// history returns what this holder knows of a group.
+// history returns the recorded history of a group, the zero value if there is none.
 func (m *Manager) history(group string) GroupHistory {
 	if g, ok := m.groups[group]; ok {
 		return g.GroupHistory
--- a/formation/handover_test.go
+++ b/formation/handover_test.go
@@ -27,16 +27,16 @@
 	return current, older
 }
 
-// Streams stalled right after a node was stopped. The old holder had opened a group and
-// given up the lease, and the new holder's copy of the entries was older than that. It
-// saw the members without a group and joined them to others while their head served.
-func TestNewHolderWaitsForTheEntriesOfItsTime(t *testing.T) {
+// The old holder opens a group and gives up the lease as its node stops. The new holder's
+// copy of the entries is older than that and shows the members without a group. If it
+// joined them to others while their head serves, the group's streams would stall.
+func TestNewHolderWaitsForEntriesAtItsLeasePosition(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
-		n.holds = false
+		n.holdsLease = false
 		current, old := f.withOlderCopy(fleet.Position{Version: 99})
 		next := manage(f, false)
 		defer next.stop(t)
-		next.begun, next.heldFrom = true, fleet.Position{Version: 100}
+		next.trafficStarted, next.leasePosition = true, fleet.Position{Version: 100}
 		time.Sleep(10 * time.Second)
 		f.mu.Lock()
 		require.Empty(t, f.violations)
@@ -54,13 +54,13 @@
 
 // The store is restored from a copy in which the members of an open group belong to no
 // group. The lease holder must wait until they have written their entries again.
-func TestHolderWaitsUntilRestoredStoreIsSettled(t *testing.T) {
+func TestHolderWaitsUntilRestoredStoreIsRecovered(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
-		n.holds = false
+		n.holdsLease = false
 		current, restored := f.withOlderCopy(fleet.Position{Era: 1, Version: 50})
 		next := manage(f, false)
 		defer next.stop(t)
-		next.begun, next.unsettled, next.heldFrom = true, true, fleet.Position{Era: 1, Version: 40}
+		next.trafficStarted, next.unrecovered, next.leasePosition = true, true, fleet.Position{Era: 1, Version: 40}
 		time.Sleep(4 * time.Second)
 		f.mu.Lock()
 		require.Empty(t, f.violations)
@@ -68,7 +68,7 @@
 		for _, e := range current.View().Endpoints {
 			restored.Apply(time.Now(), directory.Change{Endpoint: e})
 		}
-		next.unsettled = false
+		next.unrecovered = false
 		time.Sleep(10 * time.Second)
 		require.Len(t, f.servingHeads("large"), 2)
 		require.Len(t, f.servingHeads("small"), 2)
@@ -79,17 +79,17 @@
 // to its lease position, but it would plan from a view taken before the check.
 func TestHolderPlansFromCheckedView(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
-		n.holds = false
+		n.holdsLease = false
 		current, old := f.withOlderCopy(fleet.Position{Version: 99})
 		next := manage(f, false)
 		defer next.stop(t)
-		next.begun, next.heldFrom = true, fleet.Position{Version: 100}
-		next.onHolds = func() {
+		next.trafficStarted, next.leasePosition = true, fleet.Position{Version: 100}
+		next.onLeaseCheck = func() {
 			for _, e := range current.View().Endpoints {
 				old.Apply(time.Now(), directory.Change{Endpoint: e})
 			}
 			old.NoteRead(fleet.Position{Version: 100})
-			next.onHolds = nil
+			next.onLeaseCheck = nil
 		}
 		time.Sleep(10 * time.Second)
 		require.Len(t, f.servingHeads("large"), 2)
--- a/formation/joining_test.go
+++ b/formation/joining_test.go
@@ -84,9 +84,9 @@
 	return l.zone.Healthy(ctx, e, path)
 }
 
-// Kinds of faults that a case is made of.
+// Kinds of faults in a test case. "It" is the endpoint that the fault hits.
 const (
-	faultCrash         = "crash"    // its address refuses connections
+	faultCrash         = "crash"    // it ends, and its address refuses connections
 	faultUnresponsive  = "dark"     // it ends, and requests to its address time out
 	faultLeave         = "leave"    // it stops listening, finishes its requests, and ends
 	faultIsolated      = "silent"   // it is partitioned from everything for a while, and keeps serving
@@ -104,7 +104,7 @@
 	faultNone          = "none"
 )
 
-// fault is one event of a case.
+// fault is one event of a test case.
 type fault struct {
 	Kind  string
 	VM    int           // index of the endpoint, in the order of target
@@ -129,7 +129,7 @@
 	return rapid.SliceOfN(one, 1, 12)
 }
 
-// scenario runs a case: consecutive lease holders over the same endpoints.
+// scenario runs a test case: consecutive lease holders over the same endpoints.
 type scenario struct {
 	settle time.Duration  // time to form the first groups
 	demand map[string]int // requests in each group of a model
@@ -150,17 +150,17 @@
 	cases, events, holders, joins, left, staged atomic.Int64
 }
 
-func (j *scenario) startHolder(fresh bool) {
+func (j *scenario) startHolder(firstStart bool) {
 	j.link = newLink(j.zone)
 	j.zone.mu.Lock()
 	j.zone.write()
 	version := j.zone.version
 	j.next.extraLag = 0 // a holder reads the entries more often
 	j.zone.mu.Unlock()
-	n := manageBy(j.zone, fresh, j.link, j.next.cache)
+	n := manageBy(j.zone, firstStart, j.link, j.next.cache)
 	j.next = j.zone.follow(followerLag)
-	n.heldFrom = fleet.Position{Version: version}
-	n.begun = !fresh
+	n.leasePosition = fleet.Position{Version: version}
+	n.trafficStarted = !firstStart
 	n.demand.Store(&j.demand)
 	j.holder = n
 	j.stops = append(j.stops, func() { n.stop(j.t) })
@@ -177,7 +177,7 @@
 	j.next = j.zone.follow(followerLag)
 	j.startHolder(true)
 	time.Sleep(j.settle)
-	j.holder.begun = true
+	j.holder.trafficStarted = true
 	for _, e := range events {
 		time.Sleep(e.After)
 		j.inject(e)
@@ -276,11 +276,11 @@
 func (j *scenario) injectHolderFault(e fault, until time.Time) {
 	switch e.Kind {
 	case faultHandOver:
-		j.holder.holds = false
+		j.holder.holdsLease = false
 		time.Sleep(100 * time.Millisecond)
 		j.startHolder(false)
 	case faultKill:
-		j.holder.holds = false
+		j.holder.holdsLease = false
 		j.holder.group.Stop()
 		time.Sleep(3 * time.Second)
 		j.startHolder(false)
@@ -288,28 +288,27 @@
 		j.zone.mu.Lock()
 		j.link.frozen = until
 		j.zone.mu.Unlock()
-		j.holder.holds = false
+		j.holder.holdsLease = false
 		time.Sleep(3 * time.Second)
 		j.startHolder(false)
 	case faultLeaseRegained:
 		first, link := j.holder, j.link
-		first.holds = false
+		first.holdsLease = false
 		time.Sleep(time.Second)
 		j.startHolder(false)
 		time.Sleep(e.Lasts / 2)
-		j.holder.holds = false
+		j.holder.holdsLease = false
 		j.zone.mu.Lock()
 		j.zone.write()
-		first.heldFrom = fleet.Position{Version: j.zone.version}
+		first.leasePosition = fleet.Position{Version: j.zone.version}
 		j.zone.mu.Unlock()
-		j.holder, j.link, first.holds = first, link, true
+		j.holder, j.link, first.holdsLease = first, link, true
 	}
 }
 
-// Streams stalled because a VM of their group was joined to another group. Whatever
-// faults hit heads, members, orders, connections, entries and holders, and in whatever
-// order, no VM accepts an order to join another group while the head of its own group
-// is open.
+// Whatever faults hit heads, members, orders, connections, entries and holders, and in
+// whatever order, no VM accepts an order to join another group while the head of its own
+// group is open: the group's streams would stall.
 func TestNoVMIsInTwoGroups(t *testing.T) {
 	seen := &caseCounts{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -383,10 +382,10 @@
 
 // manageBy returns a holder that reaches the endpoints through a link, with its own
 // copy of their entries.
-func manageBy(f *fakeZone, fresh bool, orderer fleet.Orderer, cache *directory.Cache) *node {
+func manageBy(f *fakeZone, firstStart bool, orderer fleet.Orderer, cache *directory.Cache) *node {
 	f.mu.Lock()
 	f.leases++
-	n := &node{version: f.leases, holds: true, fresh: fresh, progressing: map[string]bool{}, group: kernel.NewGroup(context.Background())}
+	n := &node{version: f.leases, holdsLease: true, firstStart: firstStart, progressing: map[string]bool{}, group: kernel.NewGroup(context.Background())}
 	f.mu.Unlock()
 	n.start(cache, orderer)
 	return n
--- a/formation/leaving_head_test.go
+++ b/formation/leaving_head_test.go
@@ -12,10 +12,10 @@
 	"redwinghall/fleet"
 )
 
-// Streams stalled at once when their group's head was leaving: it had stopped listening
-// and was finishing its streams, and its entry, which the store hadn't updated, still
-// said open. The holder's probe of the head was refused, so it took the head for ended
-// and joined its members to another group while it served.
+// A head that is leaving has stopped listening and finishes its streams, while its entry,
+// which the store hasn't updated, still shows it as open. It refuses the holder's probe.
+// A holder that concluded from this that the head had ended would join its members to
+// another group, and the streams would stall at once.
 func TestMembersOfAHeadThatStoppedListening(t *testing.T) {
 	for name, handOver := range map[string]bool{"same holder": false, "new holder": true} {
 		for _, model := range []string{"large", "small"} {
@@ -24,10 +24,10 @@
 					w := f.servingHeads(model)[0]
 					holder := n
 					if handOver {
-						n.holds = false
+						n.holdsLease = false
 						holder = manage(f, false)
 						defer holder.stop(t)
-						holder.begun = true
+						holder.trafficStarted = true
 						time.Sleep(300 * time.Millisecond)
 					}
 					f.stopListening(w.ID)
@@ -45,7 +45,7 @@
 // Members of a ready group were ordered to join another group, and these orders are
 // delayed. The other group is never formed, and the old one is complete again. If it
 // opened, it would lose its members to the late orders while it serves.
-func TestGroupWhoseMembersWereToldToJoinAnotherDoesNotOpen(t *testing.T) {
+func TestGroupWhoseMembersWereOrderedToJoinAnotherDoesNotOpen(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) { lateOrdersToAReadyGroup(t, seed) })
 	}
@@ -58,7 +58,7 @@
 	n := manage(f, true)
 	defer n.stop(t)
 	time.Sleep(40 * time.Second)
-	n.begun = true
+	n.trafficStarted = true
 	group, spare := f.readyGroup()
 	require.Len(t, group, 3)
 	f.mu.Lock()
--- a/formation/loads.go
+++ b/formation/loads.go
@@ -18,12 +18,13 @@
 	at          time.Time
 }
 
-// loadsAllowance is what the weight store permits beyond its rate. loadsMargin is the
-// part of the total that is used, because the windows are measured on another clock.
+// loadsAllowance is how many loads the weight store permits beyond its rate. Only the
+// part loadsMargin of the total is used, because the windows are measured on another
+// clock.
 const (
 	loadsAllowance = 3
 	loadsMargin    = 0.9
-	minLoadRate    = 0.2 // loads per second, if a zone's part is too small for a group
+	minLoadRate    = 0.2 // loads per second that a zone gets even if its part is too small for a group
 )
 
 func newLoadBudget(bounds fleet.Bounds, engine *fleet.Engine, zones int) *loadBudget {
@@ -40,7 +41,7 @@
 func (m *Manager) loadBudgetFor(zone string, engine *fleet.Engine) *loadBudget {
 	b, ok := m.loadBudgets[zone]
 	if !ok {
-		// The budget starts empty: a new holder doesn't know which loads the last one started.
+		// The budget starts empty: the previous holder may just have started loads.
 		b = newLoadBudget(m.Settings().Bounds, engine, len(m.Settings().Zones))
 		m.loadBudgets[zone] = b
 	}
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -50,15 +50,14 @@
 	// Recovered reports whether the entries that the store lost before an era have been
 	// written again.
 	Recovered func(era int64) bool
-	// Position returns the newest store position that this node knows.
+	// Position returns the newest store position that this node has seen.
 	Position func() fleet.Position
 	// TrafficStarted reports whether any request has arrived yet.
 	TrafficStarted func() bool
 	// Progressing reports whether this node recently saw a stream of an endpoint
 	// advance.
 	Progressing func(now time.Time, endpointID string) bool
-	// Running returns how many requests a head has in progress, as far as this node
-	// knows.
+	// Running returns this node's estimate of how many requests a head has in progress.
 	Running func(now time.Time, endpointID string) int
 }
 
@@ -83,8 +82,8 @@
 type endpointState struct {
 	worker        Worker
 	startedMillis int64
-	suspectUntil  time.Time // until when
-	slowUntil     time.Time // until when
+	suspectUntil  time.Time
+	slowUntil     time.Time
 	overlay       fleet.Membership
 	overlaidAt    time.Time
 	reported      fleet.Membership
@@ -104,7 +103,7 @@
 	changed time.Time
 }
 
-// NewManager returns a manager that knows no endpoints yet.
+// NewManager returns a manager without endpoints. Start runs it.
 func NewManager(options Options) *Manager {
 	return &Manager{
 		Options: options, endpoints: map[string]*endpointState{}, groups: map[string]*groupState{},
@@ -216,8 +215,8 @@
 	return pending || len(steps) > 0
 }
 
-// registrationSettled reports whether a zone's endpoints have all registered, as far as
-// can be told.
+// registrationSettled reports whether all endpoints of a zone have probably registered:
+// their number hasn't changed for settleTime, or maxSettleTime has passed.
 func (m *Manager) registrationSettled(now time.Time, zone string, count int) bool {
 	a, ok := m.registrations[zone]
 	if !ok {
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -19,28 +19,29 @@
 
 // node runs a manager of the fake zone.
 type node struct {
-	manager     *formation.Manager
-	group       *kernel.Group
-	holds       bool
-	begun       bool
-	progressing map[string]bool
+	manager        *formation.Manager
+	group          *kernel.Group
+	holdsLease     bool
+	trafficStarted bool
+	progressing    map[string]bool
 	// demand is how many requests each open group of a model has.
-	demand atomic.Pointer[map[string]int]
-	fresh  bool
-	era    int64 // of the store
-	// onHolds is called when the manager checks whether it holds the lease; it may be
+	demand     atomic.Pointer[map[string]int]
+	firstStart bool
+	era        int64 // of the store
+	// onLeaseCheck is called when the manager checks whether it holds the lease; it may be
 	// nil.
-	onHolds func()
-	// unsettled reports whether entries may be older than what endpoints had written.
-	unsettled bool
-	version   int64 // of the store when the node acquired the lease
-	// heldFrom is the position up to which the entries must have been read.
-	heldFrom fleet.Position
+	onLeaseCheck func()
+	// unrecovered reports that entries that the store lost may not have been written
+	// again.
+	unrecovered bool
+	version     int64 // of the store when the node acquired the lease
+	// leasePosition is the position up to which the entries must have been read.
+	leasePosition fleet.Position
 }
 
-func manage(f *fakeZone, fresh bool) *node {
+func manage(f *fakeZone, firstStart bool) *node {
 	f.leases++
-	n := &node{version: f.leases, holds: true, fresh: fresh, progressing: map[string]bool{}, group: kernel.NewGroup(context.Background())}
+	n := &node{version: f.leases, holdsLease: true, firstStart: firstStart, progressing: map[string]bool{}, group: kernel.NewGroup(context.Background())}
 	n.start(f.cache, f)
 	return n
 }
@@ -48,22 +49,22 @@
 // start runs a manager that forms groups from the node's copy of the entries and sends
 // orders through orderer.
 func (n *node) start(cache *directory.Cache, orderer fleet.Orderer) {
-	settings := fleet.Settings{Zone: "z", Zones: []string{"z"}, FirstStart: n.fresh, Bounds: fleet.Bounds{
+	settings := fleet.Settings{Zone: "z", Zones: []string{"z"}, FirstStart: n.firstStart, Bounds: fleet.Bounds{
 		Stall: 4 * time.Second, LoadsWindow: 5 * time.Second, LoadsOvershoot: 1.1,
 	}}
 	n.manager = formation.NewManager(formation.Options{
-		Settings: func() fleet.Settings { return settings }, Cache: cache, Orderer: orderer, LeasePosition: func(string) fleet.Position { return n.heldFrom },
-		Recovered:  func(int64) bool { return !n.unsettled },
-		HoldsLease: func(string) bool { n.leaseChecked(); return n.holds }, Position: func() fleet.Position { return fleet.Position{Era: n.era, Version: n.version} },
-		TrafficStarted: func() bool { return n.begun }, Progressing: func(_ time.Time, id string) bool { return n.progressing[id] },
+		Settings: func() fleet.Settings { return settings }, Cache: cache, Orderer: orderer, LeasePosition: func(string) fleet.Position { return n.leasePosition },
+		Recovered:  func(int64) bool { return !n.unrecovered },
+		HoldsLease: func(string) bool { n.leaseChecked(); return n.holdsLease }, Position: func() fleet.Position { return fleet.Position{Era: n.era, Version: n.version} },
+		TrafficStarted: func() bool { return n.trafficStarted }, Progressing: func(_ time.Time, id string) bool { return n.progressing[id] },
 		Running: n.running(cache),
 	})
 	n.manager.Start(n.group)
 }
 
 func (n *node) leaseChecked() {
-	if n.onHolds != nil {
-		n.onHolds()
+	if n.onLeaseCheck != nil {
+		n.onLeaseCheck()
 	}
 }
 
@@ -94,7 +95,7 @@
 		n := manage(f, true)
 		defer n.stop(t)
 		time.Sleep(40 * time.Second)
-		n.begun = true
+		n.trafficStarted = true
 		require.Len(t, f.servingHeads("large"), 2)
 		require.Len(t, f.servingHeads("small"), 2)
 		run(t, f, n)
@@ -128,7 +129,7 @@
 // The number of endpoints that can register per second is limited. Groups formed while
 // endpoints still register find partly filled domains: a zone of two domains of 27 that
 // took 4 s to fill got one large group instead of two, and half of the large model's
-// requests were refused from then on.
+// requests were refused.
 func TestFirstGroupsWaitWhileEndpointsKeepComing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeZone(1, 0, 0)
@@ -166,8 +167,8 @@
 }
 
 // The store is slow, and entries show the effect of orders after 2 s. A member that
-// answers that it has already joined must not be taken for one that hasn't: its group
-// would be dissolved, and its members would wait for seconds.
+// answers that it has already joined must count as joined: otherwise its group would be
+// dissolved, and its members would wait for seconds.
 func TestSlowEntriesDissolveNoGroup(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		member, head := memberOf(f, "large", 1)
@@ -214,9 +215,9 @@
 	})
 }
 
-// A store outage ended the service of healthy groups: members that are partitioned from
-// the store only lose their entries while they keep serving. They are asked directly,
-// and the group stays open.
+// Members that are partitioned from the store, but from nothing else, lose their entries
+// while they keep serving. They are asked directly, and the group stays open: otherwise
+// a store outage would end the service of healthy groups.
 func TestMemberCutOffFromTheStoreStays(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, _ *node) {
 		member, head := memberOf(f, "large", 2)
@@ -278,10 +279,10 @@
 	})
 }
 
-// The head of a group is unresponsive, and it isn't known whether it still serves. Its
-// members are ordered to leave, and some of the orders are lost. A member that was
-// joined to another group before it reported that it left would be in two groups at
-// once, however long ago the head became unresponsive.
+// The head of a group is unresponsive and may still serve. Its members are ordered to
+// leave, and some of the orders are lost. A member that is joined to another group
+// before it reports that it left would be in two groups at once, however long ago the
+// head became unresponsive.
 func TestMembersOfASilentHeadJoinOnlyOnceTheyLeft(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, _ *node) {
 		w := f.servingHeads("large")[0]
@@ -317,10 +318,10 @@
 		w := f.servingHeads("large")[0]
 		f.kill(w.ID, false)
 		n.manager.ReportStall(context.Background(), w.ID)
-		asked := f.reports
+		requestedBefore := f.reports
 		time.Sleep(2500 * time.Millisecond)
 		require.Len(t, f.servingHeads("large"), 2)
-		require.LessOrEqual(t, f.reports-asked, 40, "the domain's 11 endpoints once, then the members before the group opens")
+		require.LessOrEqual(t, f.reports-requestedBefore, 40, "the domain's 11 endpoints once, then the members before the group opens")
 	})
 }
 
@@ -376,8 +377,8 @@
 	return heads
 }
 
-// A member crashed and restarted while its group waited to open. Its entry is outdated
-// and still says that it is ready. The group would serve without it.
+// A member crashes and restarts while its group waits to open. Its outdated entry still
+// shows it as ready. A group opened on that basis would serve without it.
 func TestOpenAsksTheMembersThemselves(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		member, head := memberOf(f, "small", 1)
@@ -404,9 +405,9 @@
 	})
 }
 
-// A member ended, and another process listens at its address under a new id. A request
-// for the old id's report is answered by the new process. The two ids must not count as
-// two members: the member list of a group would then contain one that is gone.
+// A member's process ends, and another process listens at its address under a new id. It
+// answers requests for the old id's report too. The two ids must not count as two
+// members: the member list of a group would then contain one that is gone.
 func TestAnotherProcessAtAnAddress(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		for round, model := range []string{"small", "large", "small"} {
@@ -428,18 +429,18 @@
 	})
 }
 
-// A new holder of the zone's lease knows only what endpoints report. It continues from
-// the present state and dissolves no group.
+// A new holder of the zone's lease has only the endpoints' reports. It continues from the
+// present state and dissolves no group.
 func TestNewHolderTakesOver(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		before := map[string]fleet.Membership{}
 		for id, w := range f.workers {
 			before[id] = w.Member
 		}
-		n.holds = false
+		n.holdsLease = false
 		next := manage(f, false)
 		defer next.stop(t)
-		next.begun = true
+		next.trafficStarted = true
 		time.Sleep(20 * time.Second)
 		for id, w := range f.workers {
 			if before[id].State == fleet.Open {
@@ -458,7 +459,7 @@
 			first := manage(f, true)
 			defer first.stop(t)
 			time.Sleep(40 * time.Second)
-			first.begun = true
+			first.trafficStarted = true
 			holder := first
 			for range 4 {
 				member, head := memberOf(f, "small", 1)
@@ -468,10 +469,10 @@
 				f.kill(member, false)
 				holder.manager.ReportStall(context.Background(), head)
 				time.Sleep(time.Duration(500+f.random.IntN(1500)) * time.Millisecond)
-				holder.holds = false
+				holder.holdsLease = false
 				holder = manage(f, false)
 				defer holder.stop(t)
-				holder.begun = true
+				holder.trafficStarted = true
 				time.Sleep(2 * time.Second)
 				f.mu.Lock()
 				f.lossRate = 0
@@ -494,7 +495,7 @@
 			n := manage(f, true)
 			defer n.stop(t)
 			time.Sleep(40 * time.Second)
-			n.begun = true
+			n.trafficStarted = true
 			for range 14 {
 				f.injectRandomFault(n)
 				time.Sleep(time.Duration(f.random.IntN(3000)) * time.Millisecond)
--- a/formation/name.go
+++ b/formation/name.go
@@ -23,8 +23,8 @@
 	return prefix + nameSeparator + model + nameSeparator + strconv.FormatInt(epoch, 10)
 }
 
-// parseName returns the model and the kind encoded in a group's name. Any other format
-// is taken for a replica of an unknown model.
+// parseName returns the model encoded in a group's name, and whether the group is a
+// standby. A name of any other format counts as a replica of an unknown model.
 func parseName(name string) (model string, standby bool) {
 	parts := strings.Split(name, nameSeparator)
 	if len(parts) != 3 {
--- a/formation/orders.go
+++ b/formation/orders.go
@@ -101,8 +101,8 @@
 	for _, e := range s.Members {
 		m.group.Go("confirm_ready", func(context.Context) error {
 			report, err := m.Orderer.Report(ctx, e)
-			// The report's state may lag behind the entry, which already says ready.
-			// What matters is that it shows the same membership.
+			// The report's state may lag behind the entry, which already shows ready, so
+			// only the membership is compared.
 			ready := err == nil && report.Member.Group == s.Order.Group && report.Member.Epoch == s.Order.Epoch
 			if !ready {
 				m.suspectMember(e, report, err)
--- a/formation/pending_test.go
+++ b/formation/pending_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// While an empty VM loaded a model, which takes seconds, the node that forms groups
-// polled the store four times a second for changes. It does so only while a group forms
-// or ends.
+// A node whose manager is pending polls the store four times a second for changes. It
+// should do so only while a group forms or ends, not while a standby loads a model,
+// which takes seconds.
 func TestStandbyThatLoadsIsNotPending(t *testing.T) {
 	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		time.Sleep(3 * time.Second)
--- a/formation/plan.go
+++ b/formation/plan.go
@@ -70,13 +70,13 @@
 	Workers []*Worker
 	// Progressing reports whether a head's streams advance.
 	Progressing func(endpointID string) bool
-	// History returns what this holder knows of a group beside its members' reports.
+	// History returns what this holder recorded about a group.
 	History func(group string) GroupHistory
 	// Startup reports whether the deployment starts for the first time and no request
 	// has arrived yet: loads are fast and don't count against the budget.
 	Startup bool
-	// Demand is the smoothed number of requests in the groups of each model; nil if not
-	// known.
+	// Demand is the smoothed number of requests in the groups of each model; nil if it
+	// has not been measured yet.
 	Demand map[string]float64
 	// Loads is how many loads from the weight store may start now, and StageAtOnce how
 	// many workers may stage a model at the same time while they serve.
--- a/formation/proof.go
+++ b/formation/proof.go
@@ -32,8 +32,9 @@
 	ProofHeadIdle Proof = "head_idle"
 )
 
-// GroupHistory is what the lease holder of a zone knows of a group beside its members'
-// reports. The zero value is that of a group formed by another holder.
+// GroupHistory is what the lease holder of a zone recorded about a group, in addition to
+// its members' current reports. The zero value is that of a group formed by another
+// holder.
 type GroupHistory struct {
 	// FormedHere reports whether this holder formed the group. No other holder opens
 	// it.
@@ -49,7 +50,8 @@
 	MembersRemoved bool
 }
 
-// Evidence is what is known about a VM and the group that it was last known to be in.
+// Evidence is what Proof is derived from: a VM's last reported membership, and the head
+// and history of that group.
 type Evidence struct {
 	// Member is the VM's last reported membership.
 	Member fleet.Membership
@@ -58,8 +60,8 @@
 	RejoinUntil time.Time
 	// Standby reports whether the group is a standby, which never opens.
 	Standby bool
-	// Head is the head's last reported membership, and HeadSince is since when it is
-	// known. Both are zero if the head has no known report.
+	// Head is the head's last reported membership, and HeadSince is when it last
+	// changed. Both are zero if the group has no head.
 	Head      fleet.Membership
 	HeadSince time.Time
 	History   GroupHistory
--- a/formation/reconcile.go
+++ b/formation/reconcile.go
@@ -55,7 +55,7 @@
 		// Members that neither this node nor the store reaches may still serve with the
 		// others: the progress of the streams takes precedence.
 		p.countServing(g)
-	case g.hasLostMember() || !g.known:
+	case g.hasLostMember() || !g.modelKnown:
 		p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "member_lost")
 	default:
 		p.countServing(g)
@@ -99,7 +99,7 @@
 //
 // An endpoint that is partitioned from the store, but from nothing else, accepts the
 // order, and its entry stays unchanged until it expires. The group would wait for it,
-// and its healthy members would serve nobody.
+// and its healthy members would stay idle.
 func (p *planner) excludeStaleMembers(g *group) bool {
 	var late []*Worker
 	shown := 0
@@ -140,7 +140,7 @@
 // and are free once they have confirmed it.
 //
 // An order to open that got no answer may be carried out seconds later. If the members
-// had joined other groups by then, the head would accept requests that nobody works on.
+// had joined other groups by then, the head would accept requests that make no progress.
 // So a reachable head is ordered to leave first: its confirmation frees all others at
 // once.
 func (p *planner) release(g *group) {
--- a/formation/split.go
+++ b/formation/split.go
@@ -40,13 +40,13 @@
 }
 
 // supplied returns the VMs of each model in all domains except one.
-func supplied(models []fleet.Model, chosen map[string][]int, but string, serving map[string]int) []int {
+func supplied(models []fleet.Model, chosen map[string][]int, except string, serving map[string]int) []int {
 	vms := make([]int, len(models))
 	for i, m := range models {
 		vms[i] = serving[m.Name]
 	}
 	for domain, counts := range chosen {
-		if domain == but {
+		if domain == except {
 			continue
 		}
 		for i, n := range counts {
@@ -64,7 +64,7 @@
 	var try func(i, left int)
 	try = func(i, left int) {
 		if i == len(models) {
-			if w := evenness(models, counts, others); w > worth {
+			if w := balancedSupply(models, counts, others); w > worth {
 				best, worth = append([]int(nil), counts...), w
 			}
 			return
@@ -79,7 +79,7 @@
 	return best
 }
 
-func evenness(models []fleet.Model, counts, others []int) float64 {
+func balancedSupply(models []fleet.Model, counts, others []int) float64 {
 	sum := 0.0
 	for i, m := range models {
 		sum += m.Share * math.Log(max(0.5, float64(others[i]+counts[i]*m.Size)))
--- a/formation/split_test.go
+++ b/formation/split_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The models' shares are 2 to 1, but both got the same number of VMs because small
-// groups were placed first and left no room for large ones.
+// The models' shares are 2 to 1. If small groups were placed first, they would leave no
+// room for large ones, and both models would get the same number of VMs.
 func TestFirstGroupsFollowTheShares(t *testing.T) {
 	for name, c := range map[string]struct {
 		domains, size, large, small int
--- a/formation/stage.go
+++ b/formation/stage.go
@@ -18,8 +18,8 @@
 // serve, so that they can replace lost members of its groups at once. Half of a group's
 // size is kept staged in each domain: the next loss may happen before a load ends, and
 // a group with less than half of its members left isn't rebuilt. A domain's only small
-// group is left alone: hosts that crash come back with what they have in memory, and
-// that group would be gone for a whole load.
+// group stages nothing: VMs that crash come back with the staged model in host memory,
+// and that group would be unavailable for a whole load.
 //
 // Unlike VMs that are kept idle as standbys, these VMs keep serving.
 func (p *planner) stage() {
@@ -70,7 +70,7 @@
 	}
 }
 
-// stageable returns the groups of a domain whose hosts may stage a larger model, those
+// stageable returns the groups of a domain whose members may stage a larger model, those
 // that have staged it on the most members first.
 func (p *planner) stageable(domain string, model fleet.Model) []*group {
 	var groups []*group
--- a/formation/stale_entry_test.go
+++ b/formation/stale_entry_test.go
@@ -11,8 +11,9 @@
 	"redwinghall/formation"
 )
 
-// joiningGroup returns the workers of a large group that was ordered to join long
-// enough ago, and a spare. The entries of shown of the members show that they joined.
+// joiningGroup returns the members of a large group that were ordered to join more than
+// entryLagLimit ago, and a spare worker. The entries of shown of the members show that
+// they joined.
 func joiningGroup(now time.Time, shown int) []*formation.Worker {
 	var workers []*formation.Worker
 	for rank := range 7 {
@@ -32,8 +33,8 @@
 	return workers
 }
 
-// The head of a new group is partitioned from the store as it joins. The others wait
-// for its entry to show that it joined, and a complete group serves nobody for six
+// The head of a new group is partitioned from the store as it joins. If the others
+// waited for its entry to show that it joined, a complete group would stay idle for six
 // seconds. The group is formed again without it, with the spare. If most entries are
 // late, the store is slow, and the group must wait.
 func TestMemberWithStaleEntryIsExcluded(t *testing.T) {
--- a/formation/unlisted.go
+++ b/formation/unlisted.go
@@ -18,10 +18,10 @@
 	unlistedTimeout       = 1500 * time.Millisecond
 	unlistedGrace         = 900 * time.Millisecond
 	unlistedProbeInterval = 500 * time.Millisecond
-	// unlistedMaxFailures is the number of consecutive failed requests after which it
-	// counts as lost.
+	// unlistedMaxFailures is the number of consecutive failed requests after which the
+	// endpoint counts as silent.
 	unlistedMaxFailures = 2
-	// unlistedAbsentFailures is the number after which it isn't asked again.
+	// unlistedAbsentFailures is the number after which the endpoint isn't asked again.
 	unlistedAbsentFailures = 6
 	// unlistedProbePeriod is how long an endpoint without an entry is asked at all.
 	unlistedProbePeriod = 40 * time.Second
@@ -39,8 +39,8 @@
 	askedAt  time.Time
 	answered time.Time
 	fails    int
-	// absent reports that nothing answers for the endpoint at its address; it isn't
-	// asked again.
+	// absent reports that the endpoint's process no longer listens at its address, or
+	// that another endpoint has that address; it isn't asked again.
 	absent bool
 }
 
