--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -10,8 +10,8 @@
 	sentAt  time.Time
 	prompt  int
 	started bool
-	first   time.Time // event of a stream
-	last    time.Time // event of a stream, sentAt before the first
+	first   time.Time // when the first event of a stream came
+	last    time.Time // when the last event of a stream came; sentAt before the first
 	// predicted is the predicted time from sentAt to the first event, queued the part
 	// of it spent waiting for a slot.
 	predicted, queued time.Duration
@@ -43,8 +43,8 @@
 	defer v.t.mu.Unlock()
 	s := v.s
 	if v.started && predictedPause != nil {
-		if want := predictedPause(s.running(now)); want > 0 {
-			s.recordPause(float64(now.Sub(v.last)) / float64(want))
+		if expectedPause := predictedPause(s.running(now)); expectedPause > 0 {
+			s.recordPause(float64(now.Sub(v.last)) / float64(expectedPause))
 		}
 	}
 	if !v.started && predictedPause != nil && v.queued == 0 {
@@ -68,7 +68,7 @@
 }
 
 // Weight and bounds of the bias and of one sample of it. A late first event is
-// mostly due to load that the node couldn't know of, so a sample is capped.
+// mostly due to load that other nodes haven't shared yet, so a sample is capped.
 const (
 	biasWeight    = 0.02
 	maxBiasSample = 300 * time.Millisecond
@@ -109,7 +109,7 @@
 	v.finish()
 }
 
-// Done ends the attempt. ok says whether the request succeeded.
+// Done ends the attempt. ok reports whether the request succeeded.
 func (v *Attempt) Done(now time.Time, ok bool) {
 	v.t.mu.Lock()
 	defer v.t.mu.Unlock()
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -75,19 +75,19 @@
 func TestGroupRefusesWhatWouldBeLate(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("only", "a", "large")}
-	taken := 0
+	accepted := 0
 	var refusal *balance.Refusal
 	for refusal == nil {
 		var choice balance.Choice
 		choice, refusal = tracker.ChooseGroup(start, all, nil, newRequest())
 		if refusal == nil {
-			taken++
+			accepted++
 			require.LessOrEqual(t, choice.Predicted, 440*time.Millisecond)
 		}
 	}
 	require.Equal(t, balance.Overloaded, refusal.Reason)
-	require.Greater(t, taken, 5)
-	require.Less(t, taken, 26)
+	require.Greater(t, accepted, 5)
+	require.Less(t, accepted, 26)
 	require.GreaterOrEqual(t, refusal.RetryAfter, 300*time.Millisecond)
 }
 
@@ -154,9 +154,9 @@
 }
 
 // Guards against all nodes sending to a group that has just opened as much as it
-// could handle from one node, before they learn of each other's load: 16 prompts
-// came within 100 ms, and all were late. So a node assumes that the others
-// meanwhile sent as much as it did.
+// could handle from one node, before they have shared their loads: 16 prompts came
+// within 100 ms, and all were late. So a node assumes that the others meanwhile sent
+// as much as it did.
 func TestNodesDoNotRushToOneGroup(t *testing.T) {
 	const nodes = 6
 	opened := head("opened", "b", "large")
@@ -236,7 +236,7 @@
 }
 
 // Long streams of a plain service last longer than the objective for the first
-// event. The service must not be taken for overloaded because of that.
+// event. The service must not count as overloaded because of that.
 func TestLongStreamsOfAPlainServiceAreNoOverload(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{{ID: "feed", Service: "feed", Zone: "a", State: fleet.EndpointReady, Slots: 6}}
@@ -273,9 +273,9 @@
 }
 
 // BenchmarkGroup measures one choice among the heads of one model. 70 endpoints have
-// about 6 groups of each of two models, 330 have 30. Searching all endpoints instead
-// of the heads took 4.8 us for 72 and 19.9 us for 360. Allocating each candidate
-// took 32 allocations and twice the time at 30 groups; now there are 3 allocations.
+// about 6 groups of each of two models, 330 have 30. A choice makes 3 allocations.
+// Searching all endpoints instead of the heads took 4.8 us for 72 and 19.9 us for
+// 360. Allocating each candidate took 32 allocations and twice the time at 30 groups.
 func BenchmarkGroup(b *testing.B) {
 	one := newRequest()
 	for _, groups := range []int{6, 30} {
@@ -332,9 +332,9 @@
 	t.Helper()
 	choice, refusal := tracker.ChooseGroup(start, heads, nil, newRequest())
 	require.Nil(t, refusal)
-	usual := func(int) time.Duration { return 40 * time.Millisecond }
+	predictedPause := func(int) time.Duration { return 40 * time.Millisecond }
 	for i := range 400 {
-		choice.Attempt.RecordEvent(start.Add(time.Duration(i)*120*time.Millisecond), usual)
+		choice.Attempt.RecordEvent(start.Add(time.Duration(i)*120*time.Millisecond), predictedPause)
 	}
 	choice.Attempt.Done(start.Add(50*time.Second), true)
 }
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -19,10 +19,10 @@
 // When a zone or a service fails, the first attempt of each request fails, and
 // nodes that retry all of them would double the load on the remaining endpoints.
 type RetryBudget struct {
-	mu     sync.Mutex
-	ratio  float64
-	window time.Duration
-	slices map[string]*budgetWindow
+	mu        sync.Mutex
+	ratio     float64
+	window    time.Duration
+	byService map[string]*budgetWindow
 }
 
 type budgetWindow struct {
@@ -33,7 +33,7 @@
 // NewRetryBudget returns a budget of ratio retries per request within a sliding
 // window of at least one second.
 func NewRetryBudget(ratio float64, window time.Duration) *RetryBudget {
-	return &RetryBudget{ratio: ratio, window: max(window, time.Second), slices: map[string]*budgetWindow{}}
+	return &RetryBudget{ratio: ratio, window: max(window, time.Second), byService: map[string]*budgetWindow{}}
 }
 
 // RecordRequest counts a request for a service.
@@ -44,8 +44,8 @@
 	w.requests[w.slice%budgetSlices]++
 }
 
-// Spend reports whether one more retry may be sent now. slack is this node's
-// part of the retries allowed beyond the ratio.
+// Spend reports whether one more retry may be sent now, and counts it if so. slack
+// is this node's part of the retries allowed beyond the ratio.
 func (b *RetryBudget) Spend(now time.Time, service string, slack float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,10 +65,10 @@
 // at returns the window of a service, advanced to now.
 func (b *RetryBudget) at(now time.Time, service string) *budgetWindow {
 	slice := now.UnixNano() / int64(b.window/budgetSlices)
-	w, ok := b.slices[service]
+	w, ok := b.byService[service]
 	if !ok {
 		w = &budgetWindow{slice: slice}
-		b.slices[service] = w
+		b.byService[service] = w
 	}
 	for steps := 0; w.slice < slice && steps < budgetSlices; steps++ {
 		w.slice++
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -11,11 +11,11 @@
 const (
 	// ownZoneThreshold is the share of the objective up to which a group of the
 	// caller's own zone is chosen without considering the other zones: traffic
-	// between zones is costly, and the load known of other zones is older.
+	// between zones is costly, and the loads that other zones share are older.
 	ownZoneThreshold = 0.9
 	// otherZonePenalty is how much faster a group of another zone has to be:
 	// traffic between zones is costly, and several nodes may choose the same group
-	// before they learn of each other's load.
+	// before they have shared their loads.
 	otherZonePenalty = 60 * time.Millisecond
 	// refusalFactor is the multiple of the objective beyond which the predicted
 	// time to the first event gets a request refused: a request that is certain to
@@ -43,13 +43,13 @@
 	ColdRateOwnZone, ColdRateOtherZones float64
 	// Nodes is the number of all nodes, ZoneNodes that of this zone's nodes.
 	Nodes, ZoneNodes int
-	// IsDispatcher says that this node chooses for all nodes of its zone and so
-	// knows what they send.
+	// IsDispatcher reports whether this node chooses for all nodes of its zone, and
+	// so has counted what they send.
 	IsDispatcher bool
 	// ZonesFull holds the zones that reported that they can't serve the stream in
 	// time. It excludes only their warm groups: zones don't offer cold ones.
 	ZonesFull map[string]bool
-	// Resumed says that the stream was started at another group. It is worth
+	// Resumed reports whether the stream was started at another group. It is worth
 	// finishing late, so it isn't refused for a late prediction.
 	Resumed bool
 	// Connections limits this node's requests at one endpoint; 0 means no limit.
@@ -57,8 +57,8 @@
 	// PermitShare is the part of an endpoint's rate limit that this node issues as
 	// permits, 0 if it doesn't choose for other nodes.
 	PermitShare float64
-	// LimitedFor is how long the rate limits of its endpoints keep the caller's zone
-	// from taking another request, 0 if they don't.
+	// LimitedFor is how long the caller's zone can't accept another request because of
+	// its endpoints' rate limits, 0 if it can.
 	LimitedFor time.Duration
 
 	bias time.Duration // observed error of predictions
@@ -74,12 +74,12 @@
 	return r
 }
 
-// WithOnlyZone returns the request with the warm groups of its own zone and of all
-// other zones but one excluded.
-func (r Request) WithOnlyZone(heads []*fleet.Endpoint, but string) Request {
+// WithOnlyZone returns the request with the warm groups of all zones excluded,
+// except those of one other zone.
+func (r Request) WithOnlyZone(heads []*fleet.Endpoint, only string) Request {
 	full := map[string]bool{r.Zone: true}
 	for _, e := range heads {
-		if e.Zone != but {
+		if e.Zone != only {
 			full[e.Zone] = true
 		}
 	}
@@ -87,7 +87,8 @@
 	return r
 }
 
-// Choice is the endpoint chosen for a request, with the data it was chosen by.
+// Choice is the endpoint chosen for a request, with the data that the choice is
+// based on.
 type Choice struct {
 	Endpoint *fleet.Endpoint
 	Attempt  *Attempt
@@ -101,7 +102,7 @@
 	// Age is the age of the newest report of the endpoint's load, negative if there
 	// is none.
 	Age time.Duration
-	// Permitted says that the endpoint's rate limit allows the request.
+	// Permitted reports whether the endpoint's rate limit allows the request.
 	Permitted bool
 }
 
@@ -111,7 +112,7 @@
 	return c
 }
 
-// Refusal says why no endpoint was chosen for a request.
+// Refusal is the reason why no endpoint was chosen for a request.
 type Refusal struct {
 	Reason     string
 	Predicted  time.Duration
@@ -135,8 +136,8 @@
 // Times after which refused callers should retry.
 const (
 	retrySoon = 300 * time.Millisecond
-	// retryLater applies while a group is being formed. Callers that give up after
-	// a few seconds then retry within a third of that time.
+	// retryLater applies while a group is being formed. It is at most a third of the
+	// few seconds after which callers give up.
 	retryLater = 2 * time.Second
 )
 
@@ -160,7 +161,8 @@
 	full      bool
 }
 
-// ChooseGroup chooses the group for a stream, or says why there is none.
+// ChooseGroup chooses the group for a stream, or returns the reason why there is
+// none.
 func (t *Tracker) ChooseGroup(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, request Request) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,7 +181,7 @@
 	if !request.Resumed && float64(best.predicted) > refusalFactor*float64(request.Objective) {
 		return Choice{}, lateRefusal(now, best, request)
 	}
-	return t.take(now, best, request), nil
+	return t.startChosen(now, best, request), nil
 }
 
 // lookup is the state of one choice: the request and the best endpoint found so
@@ -193,7 +195,7 @@
 	best   *candidate // nil or &chosen, which saves an allocation
 	chosen candidate
 	// Numbers of suitable endpoints that were skipped: in full zones, in backoff
-	// after failed connections, and cold with their rate spent.
+	// after failed connections, and cold with no request left in their rate.
 	full, backedOff, cold int
 	// limited counts endpoints whose rate limit allows no further request now,
 	// limitedFor is the shortest wait for one of them.
@@ -255,8 +257,8 @@
 	return l.best != nil
 }
 
-// refusal says why no endpoint was found. Callers may retry soon if suitable
-// endpoints were skipped, and later if none exists yet.
+// refusal returns the reason why no endpoint was found. Callers may retry soon if
+// suitable endpoints were skipped, and later if none exists yet.
 func (l *lookup) refusal() *Refusal {
 	switch {
 	case l.cold > 0:
@@ -273,13 +275,14 @@
 	return &Refusal{Reason: NoEndpoint, RetryAfter: retryLater}
 }
 
-// LimitedRefusal refuses a request because of rate limits that allow it after a
-// wait.
+// LimitedRefusal returns the refusal of a request that rate limits allow only after
+// a wait.
 func LimitedRefusal(wait time.Duration) *Refusal {
 	return &Refusal{Reason: Limited, RetryAfter: min(max(wait, retrySoon), retryLater)}
 }
 
-// lateRefusal refuses a stream that even the best group would serve too late.
+// lateRefusal returns the refusal of a stream that even the best group would serve
+// too late.
 func lateRefusal(now time.Time, best *candidate, request Request) *Refusal {
 	return &Refusal{
 		Reason: Overloaded, Predicted: best.predicted, RetryAfter: request.retryWhenFull(best.predicted - request.Objective),
@@ -325,7 +328,7 @@
 	return c
 }
 
-func (t *Tracker) take(now time.Time, c *candidate, request Request) Choice {
+func (t *Tracker) startChosen(now time.Time, c *candidate, request Request) Choice {
 	if request.Service.ColdPerSecond > 0 && c.endpoint.ColdAt(now) {
 		share := request.coldShare(c.endpoint)
 		c.state.cold.take(now, share/2, share/2)
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -34,18 +34,18 @@
 	Age      time.Duration
 }
 
-// limitState is what is known of an endpoint's rate limit. The tracker's lock
-// guards it.
+// limitState is the newest report of an endpoint's rate limit, and the permits for
+// it. The tracker's lock guards it.
 type limitState struct {
 	limit      fleet.RateLimit
-	namedAt    time.Time // when the endpoint reported it; zero if it never named a limit
+	namedAt    time.Time // when the endpoint reported it; zero if it never did
 	receivedAt time.Time // when this node itself last got it from the endpoint
 	changedAt  time.Time
 	// permits holds the permits that this node may issue.
 	permits bucket
-	// refusedUntil is until when this node skips the endpoint because it got no
-	// permit.
-	refusedUntil time.Time
+	// permitDeniedUntil is until when this node skips the endpoint because it got no
+	// permit for it.
+	permitDeniedUntil time.Time
 }
 
 // PermitShare returns the part of an endpoint's limit that a node issues, by its
@@ -68,7 +68,7 @@
 	if limit.Named && !l.limit.Named {
 		// No permit is available at first: earlier requests are still in progress.
 		l.permits = bucket{filledAt: now}
-		l.refusedUntil = time.Time{}
+		l.permitDeniedUntil = time.Time{}
 	}
 	l.limit, l.namedAt = limit, namedAt
 	if changed {
@@ -77,7 +77,7 @@
 	return changed
 }
 
-// issue takes one permit, or returns how long there will be none.
+// issue issues one permit, or returns the wait until there is one.
 func (l *limitState) issue(now time.Time, share float64) (ok bool, wait time.Duration) {
 	if !l.limit.Named {
 		return true, 0
@@ -104,9 +104,9 @@
 	return time.Duration((1 - l.permits.tokens) / rate * float64(time.Second))
 }
 
-// RecordLimit records what an answer says of the endpoint's rate limit. ran says
-// that the answer is to a request that ran. It returns the limit known before and
-// whether it has changed.
+// RecordLimit records the rate limit in an endpoint's answer, the zero value if the
+// answer has none. ran reports whether the request ran. It returns the previous
+// limit and whether it has changed.
 //
 // Answers may arrive out of order. An answer without a limit ends a limit only if
 // its request ran and was sent after the limit was named.
@@ -151,8 +151,8 @@
 	return t.limitReports(now, func(l *limitState) bool { return now.Sub(l.receivedAt) < limitShareTime })
 }
 
-// ChangedLimits returns the limits that changed within limitShareTime, as far as
-// this node knows.
+// ChangedLimits returns the limits of which this node recorded a change within
+// limitShareTime.
 func (t *Tracker) ChangedLimits(now time.Time) []LimitReport {
 	return t.limitReports(now, func(l *limitState) bool { return now.Sub(l.changedAt) < limitShareTime })
 }
@@ -181,7 +181,8 @@
 	return LimitReport{Endpoint: id, Limit: l.limit, Age: now.Sub(l.namedAt)}
 }
 
-// Limit returns what is known of an endpoint's limit.
+// Limit returns the newest report of an endpoint's limit, without a limit if there
+// is none.
 func (t *Tracker) Limit(now time.Time, id string) LimitReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -197,19 +198,19 @@
 	Given bool
 	// Wait is the time until the next permit if none was given.
 	Wait time.Duration
-	// Limit is the limit as the issuing node knows it.
+	// Limit is the issuing node's newest report of the limit.
 	Limit LimitReport
 }
 
 // IssuePermit issues a permit for one request to an endpoint from this node's share
-// of the limit. known is the limit as the requesting node knows it.
-func (t *Tracker) IssuePermit(now time.Time, known LimitReport, share float64) Permit {
+// of the limit. reported is the requesting node's newest report of it.
+func (t *Tracker) IssuePermit(now time.Time, reported LimitReport, share float64) Permit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mergeLimit(now, known)
-	l := &t.state(known.Endpoint, now).limit
+	t.mergeLimit(now, reported)
+	l := &t.state(reported.Endpoint, now).limit
 	given, wait := l.issue(now, share)
-	return Permit{Given: given, Wait: wait, Limit: l.report(now, known.Endpoint)}
+	return Permit{Given: given, Wait: wait, Limit: l.report(now, reported.Endpoint)}
 }
 
 // RecordPermitDenied records that this node got no permit for an endpoint. The
@@ -217,11 +218,11 @@
 func (t *Tracker) RecordPermitDenied(now time.Time, id string, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.state(id, now).limit.refusedUntil = now.Add(min(max(wait, minPermitRetry), maxPermitRetry))
+	t.state(id, now).limit.permitDeniedUntil = now.Add(min(max(wait, minPermitRetry), maxPermitRetry))
 }
 
-// limitedFor returns for how long, as far as this node knows, an endpoint's rate
-// limit allows no further request.
+// limitedFor returns this node's estimate of how long an endpoint's rate limit
+// allows no further request.
 func (r Request) limitedFor(now time.Time, s *State) time.Duration {
 	l := &s.limit
 	switch {
@@ -230,5 +231,5 @@
 	case r.PermitShare > 0:
 		return l.untilPermit(now, l.issueRate(r.PermitShare))
 	}
-	return max(0, l.refusedUntil.Sub(now))
+	return max(0, l.permitDeniedUntil.Sub(now))
 }
--- a/balance/limit_test.go
+++ b/balance/limit_test.go
@@ -21,7 +21,7 @@
 )
 
 // limitSimulation simulates in virtual time many nodes that send to one endpoint,
-// which names a rate limit.
+// which reports a rate limit.
 type limitSimulation struct {
 	nodes     int
 	perSecond float64 // the limit
@@ -39,10 +39,10 @@
 
 const (
 	limitRunLength = 20 * time.Second
-	// limitNamedAt is when the endpoint starts to name its limit, limitHolds when that
-	// has reached all nodes.
-	limitNamedAt = 2 * time.Second
-	limitHolds   = 3 * time.Second
+	// limitNamedAt is when the endpoint starts to report its limit, limitHoldsFrom when
+	// the report has reached all nodes.
+	limitNamedAt   = 2 * time.Second
+	limitHoldsFrom = 3 * time.Second
 	// limitShareInterval is how often a node shares its limit reports with the first.
 	limitShareInterval = 100 * time.Millisecond
 	// limitAnswerTime is the time from a request to its answer.
@@ -122,11 +122,11 @@
 	return choice.Attempt
 }
 
-// most returns the most requests in any limitWindow after the limit was known.
+// most returns the most requests in any limitWindow after limitHoldsFrom.
 func (p *limitSimulation) most() int {
 	most, first := 0, 0
 	for i, at := range p.arrived {
-		for p.arrived[first] < limitHolds || at-p.arrived[first] >= limitWindow {
+		for p.arrived[first] < limitHoldsFrom || at-p.arrived[first] >= limitWindow {
 			if first++; first > i {
 				break
 			}
@@ -140,11 +140,11 @@
 // nodes they ask for permits.
 func TestLimitHoldsOverAllNodes(t *testing.T) {
 	split := func(node int, _ time.Duration) int { return node % 2 }
-	wanders := func(node int, at time.Duration) int { return (int(at/time.Second) + node) % 3 }
+	rotating := func(node int, at time.Duration) int { return (int(at/time.Second) + node) % 3 }
 	for _, nodes := range []int{3, 8, 74, 300} {
 		for _, perSecond := range []float64{0, 0.2, 1.9, 40} {
 			for name, sim := range map[string]limitSimulation{
-				"one issues": {}, "two issue": {issuers: split}, "the issuer changes": {issuers: wanders}, "the issuer restarts": {restartAt: 8 * time.Second},
+				"one issues": {}, "two issue": {issuers: split}, "the issuer changes": {issuers: rotating}, "the issuer restarts": {restartAt: 8 * time.Second},
 			} {
 				t.Run(fmt.Sprint(name, " ", nodes, " ", perSecond), func(t *testing.T) {
 					sim.nodes, sim.perSecond, sim.load = nodes, perSecond, 500
@@ -163,11 +163,11 @@
 		sim.run(1)
 		served := 0
 		for _, at := range sim.arrived {
-			if at >= limitHolds {
+			if at >= limitHoldsFrom {
 				served++
 			}
 		}
-		require.Greater(t, served, int(0.7*2*(limitRunLength-limitHolds).Seconds()))
+		require.Greater(t, served, int(0.7*2*(limitRunLength-limitHoldsFrom).Seconds()))
 	}
 }
 
@@ -240,8 +240,8 @@
 	require.False(t, tracker.HasAlternative(start, heads, nil, request))
 }
 
-// The dispatcher of a zone may not yet know a limit that the requesting node knows.
-// Its choice must not count as a permit.
+// The dispatcher of a zone may not have received a limit yet that the requesting
+// node has. Its choice must not count as a permit.
 func TestDispatcherThatKnowsNoLimitPermitsNothing(t *testing.T) {
 	dispatcher, tracker := balance.NewTracker(), balance.NewTracker()
 	needy := head("needy", "a", "small")
@@ -264,8 +264,8 @@
 	require.Empty(t, tracker.Limits(start))
 }
 
-// The dispatcher of a zone takes a permit for each stream that it places, and returns
-// when there will be another one.
+// The dispatcher of a zone uses a permit for each stream that it places. Its refusal
+// names the time until there is another one.
 func TestDispatcherKeepsLimits(t *testing.T) {
 	tracker := balance.NewTracker()
 	heads := []*fleet.Endpoint{head("needy", "a", "small")}
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -13,9 +13,9 @@
 )
 
 // outcome counts requests by their result.
-type outcome struct{ asked, inTime, late, refused int }
+type outcome struct{ requests, inTime, late, refused int }
 
-func (o outcome) share(n int) float64 { return float64(n) / float64(o.asked) }
+func (o outcome) share(n int) float64 { return float64(n) / float64(o.requests) }
 
 // simulation simulates in virtual time several nodes that send requests to groups.
 type simulation struct {
@@ -56,7 +56,7 @@
 			continue
 		}
 		next = now.Add(time.Duration(random.ExpFloat64() / p.perSecond * float64(time.Second)))
-		o.asked++
+		o.requests++
 		p.send(now, random, groups, &o)
 	}
 	return o
@@ -165,7 +165,7 @@
 }
 
 // Two groups can serve about 26 such requests a second. At half that rate both
-// policies serve nearly all requests in time. Above it all answers are late without
+// policies serve nearly all requests in time. Above 26, all answers are late without
 // refusals; with them, most of what the groups can serve stays in time.
 //
 // Measured share in time, this package against least loaded: 0.99 and 0.98 at 12
--- a/balance/longest.go
+++ b/balance/longest.go
@@ -6,7 +6,7 @@
 
 // longestAnswer predicts the time to the end of the longest answer that a stream of
 // an engine may get. It returns 0 if that is unknown, as for services without an
-// engine, whose requests don't say how long the answer may be.
+// engine, whose requests don't limit the length of the answer.
 func (r Request) longestAnswer(c *candidate) time.Duration {
 	engine := r.Service.Engine
 	if engine == nil || r.Answer <= 0 || engine.Stride <= 0 {
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -60,9 +60,9 @@
 	return time.Duration(passes * float64(p.writeTime(running)))
 }
 
-// unknownRequests is how many more requests a group may have than this node knows
-// of: those that other nodes sent since they last shared their load.
-const unknownRequests = 2
+// unsharedRequests is how many requests of other nodes a group is assumed to have in
+// addition to the loads that they last shared.
+const unsharedRequests = 2
 
 // FirstEvent predicts the time to the first event of a request that has a slot, in
 // a group with running requests that generate tokens and unread prompt tokens
@@ -86,6 +86,6 @@
 	}
 	slots := float64(p.engine.Slots)
 	placed := float64(requests) * residence / (residence + float64(outside))
-	beyond := max(0, placed+unknownRequests-slots)
+	beyond := max(0, placed+unsharedRequests-slots)
 	return time.Duration(beyond / slots * residence)
 }
--- a/balance/plain.go
+++ b/balance/plain.go
@@ -18,8 +18,8 @@
 	defaultLatency = 50 * time.Millisecond
 )
 
-// ChoosePlain chooses the endpoint of a plain service for a request, or says why
-// there is none.
+// ChoosePlain chooses the endpoint of a plain service for a request, or returns the
+// reason why there is none.
 func (t *Tracker) ChoosePlain(now time.Time, endpoints []*fleet.Endpoint, zonesOut map[string]bool, request Request) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -32,7 +32,7 @@
 	if !request.Resumed && (best.full || float64(best.predicted) > refusalFactor*float64(max(request.Objective, defaultLatency))) {
 		return Choice{}, &Refusal{Reason: Overloaded, Predicted: best.predicted, RetryAfter: retrySoon}
 	}
-	return t.take(now, best, request), nil
+	return t.startChosen(now, best, request), nil
 }
 
 func (r Request) evaluatePlain(now time.Time, s *State, e *fleet.Endpoint) candidate {
--- a/balance/reserve.go
+++ b/balance/reserve.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// reservationTTL is how long a reservation counts that a node of another zone
-	// made. By then that zone has shared the stream as part of its load.
+	// reservationTTL is how long a reservation for a node of another zone counts. By
+	// then that zone has shared the stream as part of its load.
 	reservationTTL = 400 * time.Millisecond
-	// ownZoneReservationTTL is the same for a node of this zone, whose reservations
-	// end when it shares its loads; it outlasts a few lost messages.
+	// ownZoneReservationTTL is the same for a node of this zone. Its reservations end
+	// when it shares its loads, so this outlasts a few lost messages.
 	ownZoneReservationTTL = time.Second
 )
 
@@ -32,13 +32,13 @@
 }
 
 // Reserve chooses a group of this zone for a stream of another node and counts the
-// stream at the group, or says why there is none. It doesn't offer cold groups:
-// each node that sends to them uses its own share of their rate.
+// stream at the group, or returns the reason why there is none. It doesn't offer
+// cold groups: each node that sends to them uses its own share of their rate.
 //
-// What a node knows of the load that others send is outdated. All nodes take the
-// same group for the emptiest and choose it until they learn of each other's load:
-// its prompts queue behind each other, its slots run out, and first events come
-// late. A single node that chooses for all knows each stream that it placed.
+// Shared loads are outdated. If each node chose by itself, all would choose the
+// group that looks emptiest until they had shared their loads: its prompts would
+// queue behind each other, its slots would run out, and first events would come
+// late. A single node that chooses for all has counted each stream that it placed.
 func (t *Tracker) Reserve(now time.Time, heads []*fleet.Endpoint, zonesOut map[string]bool, request Request, requester Requester) (Choice, *Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,8 +60,8 @@
 	}, nil
 }
 
-// AlternativeZone returns another zone that, as far as this node knows, may serve
-// a stream in time, "" if there is none.
+// AlternativeZone returns another zone that, by the loads it shared, may serve a
+// stream in time, "" if there is none.
 //
 // It saves traffic between zones: when all zones are full, each stream would
 // otherwise ask every one of them before it is refused.
@@ -128,5 +128,5 @@
 	request.bias = t.bias
 	c := request.evaluateGroup(now, t.state(e.ID, now), e)
 	c.predicted = predicted
-	return t.take(now, &c, request)
+	return t.startChosen(now, &c, request)
 }
--- a/balance/reserve_test.go
+++ b/balance/reserve_test.go
@@ -20,12 +20,12 @@
 	heads := []*fleet.Endpoint{head("one", "b", "large"), head("two", "b", "large")}
 	zone := balance.NewTracker()
 	reserved := map[string]int{}
-	unasked := 0
+	unreserved := 0
 	for i := range nodes {
 		far := newRequest()
 		far.Nodes, far.ZoneNodes = 2*nodes, nodes
 		if _, refusal := balance.NewTracker().ChooseGroup(start, heads, nil, far); refusal == nil {
-			unasked++
+			unreserved++
 		}
 		request := newRequest()
 		request.Zone, request.ZoneNodes = "b", nodes
@@ -34,7 +34,7 @@
 			reserved[choice.Endpoint.ID]++
 		}
 	}
-	require.Equal(t, nodes, unasked, "each node alone sees two empty groups")
+	require.Equal(t, nodes, unreserved, "each node alone sees two empty groups")
 	require.Less(t, reserved["one"]+reserved["two"], nodes)
 	require.InDelta(t, reserved["one"], reserved["two"], 1)
 }
@@ -54,9 +54,9 @@
 	}
 	first, second := choose(), choose()
 	share := func() int {
-		settled := node.Tickets.LowestOpen()
+		lowestOpen := node.Tickets.LowestOpen()
 		dispatcher.SetOwnZoneLoads(start, node.OwnLoads(start))
-		dispatcher.ReleaseReservations("n2", settled)
+		dispatcher.ReleaseReservations("n2", lowestOpen)
 		return dispatcher.Snapshot(start, heads[0]).Running
 	}
 	node.Tickets.Close(second)
@@ -69,20 +69,20 @@
 	require.Equal(t, 2, dispatcher.Snapshot(start.Add(2*time.Second), heads[0]).Running+2, "reservations of a silent node expire")
 }
 
-// The dispatcher learns from nodes that tried that a group's head doesn't answer. A
-// single node's report doesn't count, as that node may itself be partitioned.
+// Nodes report to the dispatcher that a group's head doesn't answer them. A single
+// node's report doesn't count, as that node may itself be partitioned.
 func TestFailureReportsOfTwoNodesCount(t *testing.T) {
 	heads := []*fleet.Endpoint{head("one", "a", "large")}
 	tracker := balance.NewTracker()
-	shunned := func(at time.Time) bool { return len(tracker.InBackoff(at, heads)) == 1 }
+	inBackoff := func(at time.Time) bool { return len(tracker.InBackoff(at, heads)) == 1 }
 	tracker.RecordFailureReport(start, "one", "n2")
 	tracker.RecordFailureReport(start.Add(10*time.Millisecond), "one", "n2")
-	require.False(t, shunned(start.Add(20*time.Millisecond)))
+	require.False(t, inBackoff(start.Add(20*time.Millisecond)))
 	tracker.RecordFailureReport(start.Add(2*time.Second), "one", "n3")
-	require.False(t, shunned(start.Add(2*time.Second)), "the first report has expired")
+	require.False(t, inBackoff(start.Add(2*time.Second)), "the first report has expired")
 	tracker.RecordFailureReport(start.Add(2100*time.Millisecond), "one", "n2")
-	require.True(t, shunned(start.Add(2110*time.Millisecond)))
-	require.False(t, shunned(start.Add(3*time.Second)), "it is retried")
+	require.True(t, inBackoff(start.Add(2110*time.Millisecond)))
+	require.False(t, inBackoff(start.Add(3*time.Second)), "it is retried")
 }
 
 // A reservation counts until the other zone has shared the stream as part of its
@@ -90,7 +90,7 @@
 func TestReservationExpires(t *testing.T) {
 	heads := []*fleet.Endpoint{head("one", "a", "large")}
 	zone := balance.NewTracker()
-	taken := func(at time.Time) (n int) {
+	fill := func(at time.Time) (n int) {
 		for {
 			if _, refusal := zone.Reserve(at, heads, nil, newRequest(), balance.Requester{}); refusal != nil {
 				return n
@@ -98,11 +98,11 @@
 			n++
 		}
 	}
-	first := taken(start)
+	first := fill(start)
 	require.Positive(t, first)
 	require.Equal(t, first, zone.OwnLoads(start)["one"].Requests, "it is shared with the zone's other nodes")
-	require.Zero(t, taken(start.Add(300*time.Millisecond)))
-	require.Equal(t, first, taken(start.Add(500*time.Millisecond)))
+	require.Zero(t, fill(start.Add(300*time.Millisecond)))
+	require.Equal(t, first, fill(start.Add(500*time.Millisecond)))
 }
 
 // A cold group would be overloaded if its zone offered it to all others.
@@ -139,9 +139,9 @@
 }
 
 // A zone has no group of a model, and the groups of the other zones are full or in
-// backoff. Callers used to be told that no endpoint exists, with a longer retry time
-// than for a busy one, and operators searched for lost groups, because skipped
-// endpoints didn't count as endpoints.
+// backoff. If skipped endpoints didn't count, the refusal would be that no endpoint
+// exists: callers would retry later than for a busy one, and operators would search
+// for lost groups.
 func TestRefusalSaysWhyNothingWasFound(t *testing.T) {
 	heads := []*fleet.Endpoint{head("one", "b", "large"), head("two", "c", "large")}
 	refusal := func(tracker *balance.Tracker, heads []*fleet.Endpoint, one balance.Request) *balance.Refusal {
@@ -164,8 +164,8 @@
 	require.Less(t, unreachable.RetryAfter, missing.RetryAfter)
 }
 
-// The dispatcher of a full zone names the emptiest other zone: not the same one for
-// all streams that come at the same time, and none once all are full.
+// The dispatcher of a full zone returns the emptiest other zone: not the same one
+// for all streams that come at the same time, and none once all are full.
 func TestOtherZoneWithRoom(t *testing.T) {
 	heads := []*fleet.Endpoint{head("own", "a", "large"), head("b", "b", "large"), head("c", "c", "large")}
 	tracker := balance.NewTracker()
--- a/balance/slots_test.go
+++ b/balance/slots_test.go
@@ -14,9 +14,9 @@
 // preparation is the time that an endpoint spends on a request before it gets a slot.
 const preparation = 110 * time.Millisecond
 
-// A request that its endpoint is still preparing occupies no slot. When requests
-// spent a tenth of their time in preparation, and it counted as in a slot, callers
-// were refused while a tenth of the slots were free.
+// A request that its endpoint is still preparing occupies no slot. If it counted as
+// in one, and requests spent a tenth of their time in preparation, callers would be
+// refused while a tenth of the slots are free.
 func TestRequestsWithoutASlotDoNotFillGroups(t *testing.T) {
 	tracker := balance.NewTracker()
 	engine := &fleet.Engine{
@@ -26,13 +26,13 @@
 	one := newRequest()
 	one.Service, one.Model, one.Prompt, one.Objective = fleet.Service{Name: "llm", Engine: engine}, engine.Models[0], 674, 300*time.Millisecond
 	pace := balance.NewPace(engine, one.Model, 1)
-	usual := func(running int) time.Duration { return pace.Pass(running, 0) }
+	predictedPause := func(running int) time.Duration { return pace.Pass(running, 0) }
 	for i := range 500 {
 		heads := []*fleet.Endpoint{head("quiet-"+strconv.Itoa(i), "a", "small")}
 		choice, refusal := tracker.ChooseGroup(start, heads, nil, one)
 		require.Nil(t, refusal)
 		at := start.Add(pace.FirstEvent(0, 0, one.Prompt) + preparation)
-		choice.Attempt.RecordEvent(at, usual)
+		choice.Attempt.RecordEvent(at, predictedPause)
 		choice.Attempt.Done(at, true)
 	}
 	busy := []*fleet.Endpoint{head("busy", "a", "small")}
--- a/balance/tracker.go
+++ b/balance/tracker.go
@@ -17,7 +17,7 @@
 	// otherZoneLoadTTL is the same for other zones, which share theirs less often.
 	otherZoneLoadTTL = 1500 * time.Millisecond
 	// otherZonesInterest is how long after considering groups of other zones this
-	// node wants to be told their loads.
+	// node still requests their loads.
 	otherZonesInterest = 3 * time.Second
 	// smoothing is the weight of a new observation in an exponential moving average.
 	smoothing = 0.15
@@ -32,7 +32,7 @@
 	forgetLimitAfter = 10 * time.Minute
 )
 
-// State is what this node knows of one endpoint. The tracker's lock guards it.
+// State is this node's data about one endpoint. The tracker's lock guards it.
 type State struct {
 	id        string
 	own       int // requests of this node in progress there
@@ -76,7 +76,7 @@
 	states map[string]*State
 	// otherZonesConsideredAt is when a group of another zone was last considered.
 	otherZonesConsideredAt time.Time
-	// anyLimit says that an endpoint has named a limit.
+	// anyLimit reports whether any endpoint has reported a limit.
 	anyLimit bool
 	// bias is how much later than predicted first events come. It covers what Pace
 	// doesn't model, such as the network and the endpoint's preparation of a request.
@@ -126,8 +126,8 @@
 	return max(count, s.reported+s.own-s.ownAtReport)
 }
 
-// others returns the known load of other nodes at the endpoint, reservations
-// included.
+// others returns the load that other nodes shared for the endpoint, plus the
+// reservations there.
 func (s *State) others(now time.Time) Load {
 	sum := s.reservedLoad(now)
 	if now.Sub(s.ownZoneLoadAt) <= ownZoneLoadTTL {
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -25,13 +25,14 @@
 	// shareInterval is how often a node shares its loads and gets those of the others,
 	// changedInterval the same while its loads change.
 	shareInterval, changedInterval time.Duration
-	// dispatched says that one node chooses for all nodes.
+	// dispatched reports whether one node chooses for all nodes.
 	dispatched bool
 	length     time.Duration
 	// burst multiplies the request rate from burstFrom to burstUntil; 0 for no burst.
 	burst                 float64
 	burstFrom, burstUntil time.Duration
-	// retriesRefused says that refused callers retry once, after the time in the refusal.
+	// retriesRefused reports whether refused callers retry once, after the time in the
+	// refusal.
 	retriesRefused bool
 }
 
@@ -64,7 +65,7 @@
 	sharedAt    []time.Time
 	queue       []scheduled
 	firsts      []time.Duration
-	sentBack    int // callers who were refused and retried
+	retried     int // callers who were refused and retried
 	outcome
 }
 
@@ -93,7 +94,7 @@
 		p.after(time.Duration(i)*l.shareInterval/time.Duration(l.nodes), func() { p.shareLoads(i) })
 	}
 	p.after(0, p.arrive)
-	for p.inTime+p.late+p.refused < p.asked || p.now.Before(start.Add(l.length)) {
+	for p.inTime+p.late+p.refused < p.requests || p.now.Before(start.Add(l.length)) {
 		p.step()
 	}
 	return p
@@ -153,7 +154,7 @@
 		return
 	}
 	p.after(time.Duration(p.random.ExpFloat64()/p.rate()*float64(time.Second)), p.arrive)
-	p.asked++
+	p.requests++
 	p.try(p.caller(), p.random.IntN(p.nodes))
 }
 
@@ -173,7 +174,7 @@
 	return p.perSecond
 }
 
-// caller is one request; again says that it is a retry after a refusal.
+// caller is one request; again reports whether it is a retry after a refusal.
 type caller struct {
 	arrived        time.Time
 	prompt, answer int
@@ -202,7 +203,7 @@
 		p.refused++
 		return
 	}
-	p.sentBack++
+	p.retried++
 	c.again = true
 	p.after(refusal.RetryAfter, func() { p.try(c, p.random.IntN(p.nodes)) })
 }
@@ -236,7 +237,7 @@
 func (p *zoneSimulation) send(c caller, choice balance.Choice) {
 	which, _ := strconv.Atoi(choice.Endpoint.ID)
 	first, last, slowest := time.Time{}, p.now, time.Duration(0)
-	usual := func(running int) time.Duration {
+	predictedPause := func(running int) time.Duration {
 		return balance.NewPace(zoneEngine(), zoneEngine().Models[0], 1).Pass(running, 0)
 	}
 	request := &passes.Request{Prompt: c.prompt, Answer: c.answer, OnEvent: func(at time.Time, end bool) {
@@ -246,7 +247,7 @@
 			slowest = max(slowest, at.Sub(last))
 		}
 		last = at
-		choice.Attempt.RecordEvent(at, usual)
+		choice.Attempt.RecordEvent(at, predictedPause)
 		if !end {
 			return
 		}
@@ -266,7 +267,7 @@
 	at := func(share float64) time.Duration {
 		return p.firsts[int(share*float64(len(p.firsts)-1))].Round(time.Millisecond)
 	}
-	return fmt.Sprintf("asked %d: in time %.3f, late %.3f, refused %.3f; first event 50%% %s, 95%% %s", p.asked, p.share(p.inTime), p.share(p.late),
+	return fmt.Sprintf("%d requests: in time %.3f, late %.3f, refused %.3f; first event 50%% %s, 95%% %s", p.requests, p.share(p.inTime), p.share(p.late),
 		p.share(p.refused), at(0.5), at(0.95))
 }
 
@@ -277,8 +278,8 @@
 	lateAtMost = 0.1
 )
 
-// All nodes of a large zone take the same group for the emptiest until they learn of
-// each other's load, so answers are late long before the zone is full. With one node
+// All nodes of a large zone choose the group that looks emptiest until they have
+// shared their loads, so answers are late long before the zone is full. With one node
 // that chooses for all, the share of late answers doesn't grow with the number of
 // nodes.
 func TestZoneLoadServedInTime(t *testing.T) {
@@ -306,23 +307,23 @@
 // refusedAgainAtMost is the share of retries that may be refused again.
 const refusedAgainAtMost = 0.1
 
-// Callers that were refused during a short burst find free slots when they retry at
-// the time they were given. With the same short time for all, they would find the
-// same groups full.
+// Callers that were refused during a short burst find free slots when they retry
+// after the time in the refusal. With the same short time for all, they would find
+// the same groups full.
 func TestRefusedCallersRetrySuccessfully(t *testing.T) {
 	for _, lasts := range []time.Duration{time.Second, 3 * time.Second, 8 * time.Second} {
 		load := zoneScenario{
 			nodes: 40, groups: 20, perSecond: usualLoad, shareInterval: shareIntervalFor(40), changedInterval: shareIntervalFor(0), dispatched: true, length: 20 * time.Second,
 			burst: 2.5, burstFrom: 4 * time.Second, burstUntil: 4*time.Second + lasts, retriesRefused: true,
 		}
-		sentBack, refused := 0, 0
+		retried, refused := 0, 0
 		for seed := range uint64(3) {
 			back := load.run(seed)
-			t.Logf("burst of %s: sent back %d, refused again %d: %s", lasts, back.sentBack, back.refused, back)
-			sentBack, refused = sentBack+back.sentBack, refused+back.refused
+			t.Logf("burst of %s: retried %d, refused again %d: %s", lasts, back.retried, back.refused, back)
+			retried, refused = retried+back.retried, refused+back.refused
 		}
 		if lasts <= time.Second { // during a longer burst there are no free slots to retry for
-			require.LessOrEqual(t, float64(refused), refusedAgainAtMost*float64(sentBack))
+			require.LessOrEqual(t, float64(refused), refusedAgainAtMost*float64(retried))
 		}
 	}
 }
