--- a/ramp/grants.go
+++ b/ramp/grants.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// GrantTTL is how long a router may send to a cold group after it requested the
-// grant.
+// GrantTTL is how long a router may send to a cold group after it requested a grant
+// for it.
 const GrantTTL = 2 * time.Second
 
 // Grants records which router may send to which cold group of a zone. The holder
 // of the zone's lease keeps it. Each grant expires after GrantTTL.
 //
 // Routers choose a cold group's owner by hashing over the routers that they see
-// alive. When a router joins, dies or is partitioned, two of them may both take
-// themselves for the owner and together send twice what the group can handle, so
-// that it fails while it starts. So the holder grants a group to one router at a
-// time, and to another only after the first grant has expired by the holder's own
-// clock. A router counts its grant from the time of its request, so it stops
-// before the grant expires at the holder, and their clocks need not agree.
+// alive. When a router joins, dies or is partitioned, two of them may both act as
+// the owner and together send twice what the group can handle, so that it fails
+// while it starts. So the holder grants a group to one router at a time, and to
+// another only after the first grant has expired by the holder's own clock. A
+// router counts its grant from the time of its request, so it stops before the
+// grant expires at the holder, and their clocks need not agree.
 type Grants struct {
 	mu           sync.Mutex
 	blockedUntil time.Time
@@ -36,7 +36,8 @@
 	return &Grants{blockedUntil: now.Add(GrantTTL), held: map[string]grant{}}
 }
 
-// Acquire returns those of the groups that the router may send to for GrantTTL.
+// Acquire grants the router those of the groups that no other router holds, for
+// GrantTTL, and returns them.
 func (g *Grants) Acquire(now time.Time, router string, groups []string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/ramp/grants_test.go
+++ b/ramp/grants_test.go
@@ -32,10 +32,10 @@
 				grants = ramp.NewGrants(now.Add(holderSkew))
 			}
 			i := rapid.IntRange(0, len(skews)-1).Draw(rt, "router")
-			asked := now
+			requestedAt := now
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(rt, "way")) * time.Millisecond)
 			if len(grants.Acquire(now.Add(holderSkew), fmt.Sprint("router-", i), []string{"g"})) == 1 {
-				held[i] = asked.Add(skews[i]).Add(ramp.GrantTTL)
+				held[i] = requestedAt.Add(skews[i]).Add(ramp.GrantTTL)
 			}
 			holders := 0
 			for r, until := range held {
--- a/ramp/ramp.go
+++ b/ramp/ramp.go
@@ -11,7 +11,7 @@
 type Input struct {
 	Group     redwinghall.Group
 	Completed uint64 // requests completed by the leader since it started
-	Owner     bool   // this router alone sends to the group while it is cold
+	Owner     bool   // whether this is the only router that sends to the group while it is cold
 	Routers   int    // live routers of the zone, including this one
 }
 
--- a/ramp/ramp_test.go
+++ b/ramp/ramp_test.go
@@ -13,10 +13,9 @@
 
 var group = redwinghall.Group{MaxInFlight: 32, ColdInFlight: 2, WarmAfter: 20}
 
-// Guards against a starting group that fails repeatedly. Each router used to have
-// a ramp of its own, so when the group became ready, N routers sent N times as
-// much as it could handle. The sum over all routers has to stay within the limit
-// of the group.
+// Guards against a starting group that fails repeatedly. If each router had a ramp
+// of its own, N routers would send N times as much as the group can handle once it
+// becomes ready. The sum over all routers has to stay within the limit of the group.
 func TestSumOverRoutersStaysWithinGroupLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := redwinghall.Group{
