--- a/place/place.go
+++ b/place/place.go
@@ -76,10 +76,10 @@
 func replicaSizes(demands []Demand) []int {
 	seen := map[int]bool{}
 	var sizes []int
-	for _, w := range demands {
-		if !seen[w.Model.VMsPerReplica] {
-			seen[w.Model.VMsPerReplica] = true
-			sizes = append(sizes, w.Model.VMsPerReplica)
+	for _, demand := range demands {
+		if !seen[demand.Model.VMsPerReplica] {
+			seen[demand.Model.VMsPerReplica] = true
+			sizes = append(sizes, demand.Model.VMsPerReplica)
 		}
 	}
 	sort.Sort(sort.Reverse(sort.IntSlice(sizes)))
