--- a/health/health_test.go
+++ b/health/health_test.go
@@ -29,10 +29,10 @@
 func TestTrackerHealth(t *testing.T) {
 	at := start.Add
 	tests := []struct {
-		name  string
-		polls func(*health.Tracker)
-		now   time.Time
-		whole bool
+		name    string
+		polls   func(*health.Tracker)
+		now     time.Time
+		healthy bool
 	}{
 		{"no member seen", func(*health.Tracker) {}, start, false},
 		{"one member never seen", func(tr *health.Tracker) {
@@ -81,48 +81,47 @@
 		t.Run(tt.name, func(t *testing.T) {
 			tracker := health.NewTracker(pair())
 			tt.polls(tracker)
-			require.Equal(t, tt.whole, tracker.Health().Whole(pair(), tt.now, bound))
+			require.Equal(t, tt.healthy, tracker.Health().Whole(pair(), tt.now, bound))
 		})
 	}
 }
 
 // Guards against requests being sent to a replica whose second VM has just died.
 // Both members are seen, one process dies, the next poll is refused, and then an
-// older health record arrives from another router. The group used to count as
-// whole until its last observation expired.
+// older health record arrives from another router. Without the refusal on record,
+// the group would count as healthy until its last observation expired.
 func TestRefusedMemberTakesGroupOutAtOnce(t *testing.T) {
-	book := peer.NewHealthCache()
+	cache := peer.NewHealthCache()
 	tracker := health.NewTracker(pair())
 	tracker.Observe(0, report("s"), start)
 	tracker.Observe(1, report("t"), start)
-	book.Merge(tracker.Health())
+	cache.Merge(tracker.Health())
 	stale := tracker.Health()
 
 	now := start.Add(500 * time.Millisecond)
 	tracker.Observe(0, report("s"), now)
 	tracker.ObserveRefusal(now)
-	require.True(t, book.Merge(tracker.Health()), "peers must hear at once")
-	book.Merge(stale)
+	require.True(t, cache.Merge(tracker.Health()), "peers must receive it at once")
+	cache.Merge(stale)
 
-	merged, ok := book.Get("g")
+	merged, ok := cache.Get("g")
 	require.True(t, ok)
 	require.False(t, merged.Whole(pair(), now, bound))
 }
 
-// Guards against requests being sent to a replica that is known to be broken. A
-// member restarts and the group is found broken; then a health record sent
-// before the restart arrives from a peer. The record that arrived last used to
-// replace the newer one.
+// Guards against requests being sent to a broken replica. A member restarts and the
+// group is found broken; then a health record sent before the restart arrives from
+// a peer. It must not make the group healthy again.
 func TestBrokenIsFinalForItsGeneration(t *testing.T) {
-	book := peer.NewHealthCache()
+	cache := peer.NewHealthCache()
 	broken := redwinghall.GroupHealth{Group: "g", Generation: 3, Broken: true, Ready: true, SeenAt: start}
-	require.True(t, book.Merge(broken))
-	require.False(t, book.Merge(broken), "known already")
-	book.Merge(redwinghall.GroupHealth{Group: "g", Generation: 3, Ready: true, SeenAt: start.Add(time.Second)})
-	merged, _ := book.Get("g")
+	require.True(t, cache.Merge(broken))
+	require.False(t, cache.Merge(broken), "the group was broken already")
+	cache.Merge(redwinghall.GroupHealth{Group: "g", Generation: 3, Ready: true, SeenAt: start.Add(time.Second)})
+	merged, _ := cache.Get("g")
 	require.False(t, merged.Whole(pair(), start.Add(time.Second), bound))
 
-	book.Merge(redwinghall.GroupHealth{Group: "g", Generation: 4, Ready: true, SeenAt: start.Add(2 * time.Second)})
-	merged, _ = book.Get("g")
+	cache.Merge(redwinghall.GroupHealth{Group: "g", Generation: 4, Ready: true, SeenAt: start.Add(2 * time.Second)})
+	merged, _ = cache.Get("g")
 	require.True(t, merged.Whole(pair().WithGeneration(4), start.Add(2*time.Second), bound))
 }
