--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -137,7 +137,7 @@
 // that is with all members alive and ready in the current generation.
 func (m *Manager) isWhole(g redwinghall.Group, now time.Time) bool {
 	h, ok := m.node.Health.Get(g.ID)
-	return ok && h.Whole(g, now, m.config.LostAfter)
+	return ok && h.Healthy(g, now, m.config.LostAfter)
 }
 
 func (m *Manager) putGroup(ctx context.Context, g redwinghall.Group) error {
--- a/group.go
+++ b/group.go
@@ -85,7 +85,7 @@
 	Completed uint64 // by the leader since its start
 }
 
-// Whole reports whether every member was seen alive no longer than bound ago
+// Healthy reports whether every member was seen alive no longer than bound ago
 // under the group's present generation.
 //
 // Guard: a replica that lost a VM answers nothing or garbage, and a router
@@ -93,7 +93,7 @@
 // The bound turns silence into absence, and the generation ties the sighting
 // to the very members that the group now has. A member that refuses a
 // connection is known to be gone, and takes the group out without the wait.
-func (h GroupHealth) Whole(g Group, now time.Time, bound time.Duration) bool {
+func (h GroupHealth) Healthy(g Group, now time.Time, bound time.Duration) bool {
 	if h.Broken || !h.Ready || h.Generation != g.Generation || !h.SeenAt.After(h.LostAt) {
 		return false
 	}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -81,7 +81,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			tracker := health.NewTracker(pair())
 			tt.polls(tracker)
-			require.Equal(t, tt.whole, tracker.Word().Whole(pair(), tt.now, bound))
+			require.Equal(t, tt.whole, tracker.Word().Healthy(pair(), tt.now, bound))
 		})
 	}
 }
@@ -106,7 +106,7 @@
 
 	word, ok := book.Get("g")
 	require.True(t, ok)
-	require.False(t, word.Whole(pair(), now, bound))
+	require.False(t, word.Healthy(pair(), now, bound))
 }
 
 // A haulier is sent to a replica that misses a VM, after it was known broken.
@@ -120,9 +120,9 @@
 	require.False(t, book.Merge(broken), "known already")
 	book.Merge(redwinghall.GroupHealth{Group: "g", Generation: 3, Ready: true, SeenAt: start.Add(time.Second)})
 	word, _ := book.Get("g")
-	require.False(t, word.Whole(pair(), start.Add(time.Second), bound))
+	require.False(t, word.Healthy(pair(), start.Add(time.Second), bound))
 
 	book.Merge(redwinghall.GroupHealth{Group: "g", Generation: 4, Ready: true, SeenAt: start.Add(2 * time.Second)})
 	word, _ = book.Get("g")
-	require.True(t, word.Whole(pair().WithGeneration(4), start.Add(2*time.Second), bound))
+	require.True(t, word.Healthy(pair().WithGeneration(4), start.Add(2*time.Second), bound))
 }
--- a/route/route.go
+++ b/route/route.go
@@ -94,7 +94,7 @@
 		return false
 	}
 	h := s.health.Load()
-	return h != nil && h.Whole(*g, now, bound)
+	return h != nil && h.Healthy(*g, now, bound)
 }
 
 // TryAcquire counts one more request unless the limit is reached.
