--- a/caller/once.go
+++ b/caller/once.go
@@ -18,7 +18,7 @@
 
 // onceResult is how an attempt ended.
 type onceResult struct {
-	answer   redwinghall.Answer
+	answer   redwinghall.Response
 	replayed bool
 	err      error
 }
@@ -131,7 +131,7 @@
 // body; the service would book twice and nothing here would show it. The
 // transport made here has one connection that was never used before, keeps
 // none, cannot dial, and follows no redirect; and the body cannot be rewound.
-func sendOnce(ctx context.Context, conn net.Conn, r *request) (redwinghall.Answer, error) {
+func sendOnce(ctx context.Context, conn net.Conn, r *request) (redwinghall.Response, error) {
 	unused := conn
 	transport := &http.Transport{
 		DisableKeepAlives:  true,
@@ -148,20 +148,20 @@
 	defer func() { _ = conn.Close() }()
 	out, err := serviceRequest(ctx, conn.RemoteAddr().String(), r)
 	if err != nil {
-		return redwinghall.Answer{}, err
+		return redwinghall.Response{}, err
 	}
 	out.Body = io.NopCloser(bytes.NewReader(r.body))
 	out.GetBody = nil
 	answer, err := transport.RoundTrip(out)
 	if err != nil {
-		return redwinghall.Answer{}, err
+		return redwinghall.Response{}, err
 	}
 	return readAnswer(answer)
 }
 
 // recordable returns the answer as the table keeps it: a large body is left
 // out, and a replay says so.
-func recordable(a redwinghall.Answer) redwinghall.Answer {
+func recordable(a redwinghall.Response) redwinghall.Response {
 	if len(a.Body) <= maxRecordedAnswer {
 		return a
 	}
--- a/caller/service.go
+++ b/caller/service.go
@@ -89,16 +89,16 @@
 	return redwinghall.NewOpError("Server.callRepeatable", redwinghall.CodeEndpointFailed, last)
 }
 
-func (s *Server) callShared(ctx context.Context, timeout time.Duration, address string, r *request) (redwinghall.Answer, error) {
+func (s *Server) callShared(ctx context.Context, timeout time.Duration, address string, r *request) (redwinghall.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	out, err := serviceRequest(ctx, address, r)
 	if err != nil {
-		return redwinghall.Answer{}, err
+		return redwinghall.Response{}, err
 	}
 	answer, err := s.streams.RoundTrip(out)
 	if err != nil {
-		return redwinghall.Answer{}, err
+		return redwinghall.Response{}, err
 	}
 	return readAnswer(answer)
 }
@@ -127,21 +127,21 @@
 }
 
 // readAnswer reads a whole answer; one that is cut off is an error.
-func readAnswer(answer *http.Response) (redwinghall.Answer, error) {
+func readAnswer(answer *http.Response) (redwinghall.Response, error) {
 	defer func() { _ = answer.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxServiceAnswer+1))
 	if err != nil {
-		return redwinghall.Answer{}, err
+		return redwinghall.Response{}, err
 	}
 	if len(body) > maxServiceAnswer {
-		return redwinghall.Answer{}, fmt.Errorf("the answer is larger than %d bytes", maxServiceAnswer)
+		return redwinghall.Response{}, fmt.Errorf("the answer is larger than %d bytes", maxServiceAnswer)
 	}
-	return redwinghall.Answer{
+	return redwinghall.Response{
 		Status: answer.StatusCode, ContentType: answer.Header.Get("Content-Type"), Body: body,
 	}, nil
 }
 
-func writeAnswer(w http.ResponseWriter, a redwinghall.Answer, replayed bool) {
+func writeAnswer(w http.ResponseWriter, a redwinghall.Response, replayed bool) {
 	if a.ContentType != "" {
 		w.Header().Set("Content-Type", a.ContentType)
 	}
--- a/claim.go
+++ b/claim.go
@@ -23,11 +23,11 @@
 	State    ClaimState `json:"state"`
 	Router   string     `json:"router"`
 	At       time.Time  `json:"at"`
-	Answer   *Answer    `json:"answer,omitempty"`
+	Answer   *Response    `json:"answer,omitempty"`
 }
 
-// Answer is a service's recorded answer.
-type Answer struct {
+// Response is a service's recorded answer.
+type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
 	Body        []byte `json:"body"`
@@ -40,7 +40,7 @@
 }
 
 // WithAnswer returns the claim as run, with its answer.
-func (c Claim) WithAnswer(a Answer) Claim {
+func (c Claim) WithAnswer(a Response) Claim {
 	c.State = ClaimRan
 	c.Answer = &a
 	return c
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -85,7 +85,7 @@
 		later  time.Duration
 		want   claim.Verdict
 	}{
-		{"ran", func(k *claim.Keeper, a claim.Attempt) { k.RecordRan(a, redwinghall.Answer{Status: 200}) }, hash, 0, claim.Replay},
+		{"ran", func(k *claim.Keeper, a claim.Attempt) { k.RecordRan(a, redwinghall.Response{Status: 200}) }, hash, 0, claim.Replay},
 		{"sent without an answer", func(k *claim.Keeper, a claim.Attempt) { k.RecordUnknown(a) }, hash, 0, claim.Unknown},
 		{"released", func(k *claim.Keeper, a claim.Attempt) { k.Release(a) }, hash, 0, claim.Proceed},
 		{"held", func(*claim.Keeper, claim.Attempt) {}, hash, 0, claim.InProgress},
@@ -181,7 +181,7 @@
 	b := newFixture(t)
 	a := mustClaim(t, b.one, time.Now())
 	b.table.SetFaults(table.Faults{Down: true})
-	b.one.RecordRan(a, redwinghall.Answer{Status: 201, Body: []byte("ok")})
+	b.one.RecordRan(a, redwinghall.Response{Status: 201, Body: []byte("ok")})
 	b.table.SetFaults(table.Faults{})
 	waitRecorded(t, b.one)
 	found := mustClaim(t, b.two, time.Now())
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -168,7 +168,7 @@
 func (k *Keeper) Release(a Attempt) { k.enqueue(a.Key, a.Claim.WithState(redwinghall.ClaimReleased)) }
 
 // RecordRan records the response to the attempt's call.
-func (k *Keeper) RecordRan(a Attempt, answer redwinghall.Answer) {
+func (k *Keeper) RecordRan(a Attempt, answer redwinghall.Response) {
 	k.enqueue(a.Key, a.Claim.WithAnswer(answer))
 }
 
--- a/measure/claims.go
+++ b/measure/claims.go
@@ -66,7 +66,7 @@
 			if err != nil {
 				return err
 			}
-			k.RecordRan(a, redwinghall.Answer{Status: 200})
+			k.RecordRan(a, redwinghall.Response{Status: 200})
 			return nil
 		})
 	}
