--- a/caller/once.go
+++ b/caller/once.go
@@ -100,7 +100,7 @@
 	code := redwinghall.CodeOutcomeUnknown
 	switch a.Verdict {
 	case claim.Replay:
-		return onceResult{answer: *a.Claim.Answer, replayed: true}
+		return onceResult{answer: *a.Claim.Response, replayed: true}
 	case claim.InProgress:
 		code = redwinghall.CodeInProgress
 	case claim.KeyReused:
--- a/claim.go
+++ b/claim.go
@@ -23,7 +23,7 @@
 	State    ClaimState `json:"state"`
 	Router   string     `json:"router"`
 	At       time.Time  `json:"at"`
-	Answer   *Response    `json:"answer,omitempty"`
+	Response   *Response    `json:"answer,omitempty"`
 }
 
 // Response is a service's recorded answer.
@@ -42,7 +42,7 @@
 // WithAnswer returns the claim as run, with its answer.
 func (c Claim) WithAnswer(a Response) Claim {
 	c.State = ClaimRan
-	c.Answer = &a
+	c.Response = &a
 	return c
 }
 
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -186,7 +186,7 @@
 	waitRecorded(t, b.one)
 	found := mustClaim(t, b.two, time.Now())
 	require.Equal(t, claim.Replay, found.Verdict)
-	require.Equal(t, 201, found.Claim.Answer.Status)
+	require.Equal(t, 201, found.Claim.Response.Status)
 }
 
 // Many concurrent claims must share transactions rather than use up the table's
--- a/rwhtest/session.go
+++ b/rwhtest/session.go
@@ -90,8 +90,8 @@
 	var claim redwinghall.Claim
 	if strings.HasPrefix(row.Key, "claim/") && json.Unmarshal(row.Value, &claim) == nil {
 		text := string(claim.State)
-		if claim.Answer != nil {
-			text += fmt.Sprintf(" status %d body %s", claim.Answer.Status, strings.TrimSpace(string(claim.Answer.Body)))
+		if claim.Response != nil {
+			text += fmt.Sprintf(" status %d body %s", claim.Response.Status, strings.TrimSpace(string(claim.Response.Body)))
 		}
 		return text
 	}
