--- a/claim.go
+++ b/claim.go
@@ -39,8 +39,8 @@
 	return c
 }
 
-// WithAnswer returns the claim as run, with its answer.
-func (c Claim) WithAnswer(a Response) Claim {
+// WithResponse returns the claim as run, with its answer.
+func (c Claim) WithResponse(a Response) Claim {
 	c.State = ClaimRan
 	c.Response = &a
 	return c
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -169,7 +169,7 @@
 
 // RecordRan records the response to the attempt's call.
 func (k *Keeper) RecordRan(a Attempt, answer redwinghall.Response) {
-	k.enqueue(a.Key, a.Claim.WithAnswer(answer))
+	k.enqueue(a.Key, a.Claim.WithResponse(answer))
 }
 
 // RecordUnknown records that the attempt's call was sent and no response arrived.
