--- a/availability_zone.go
+++ b/availability_zone.go
@@ -1,6 +1,6 @@
 package redwinghall
 
-// ZoneState says whether operators let an availability zone take new work.
+// ZoneState says whether operators allow new work in an availability zone.
 type ZoneState string
 
 // The states of an availability zone.
@@ -9,15 +9,16 @@
 	ZoneOut ZoneState = "out"
 )
 
-// AvailabilityZone is the operators' decision on one zone. Number rises by one
-// with each decision, so that an old message never undoes a newer one.
+// AvailabilityZone is the state that operators set for one zone. Number
+// increases by one with each change, so that a delayed message never overwrites
+// a newer state.
 type AvailabilityZone struct {
 	ID     string    `json:"id"`
 	State  ZoneState `json:"state"`
 	Number uint64    `json:"number"`
 }
 
-// Validate returns everything wrong with the zone's record.
+// Validate returns all errors of the zone's record.
 func (z AvailabilityZone) Validate() Faults {
 	var f Faults
 	f = f.Identifier("id", z.ID)
--- a/client_account.go
+++ b/client_account.go
@@ -7,16 +7,16 @@
 	"fmt"
 )
 
-// Class orders work by who waits for it.
+// Class is the priority class of a client account's requests.
 type Class string
 
-// The classes of work.
+// The priority classes.
 const (
 	ClassInteractive Class = "interactive"
 	ClassBatch       Class = "batch"
 )
 
-// Limits of a client account, for one router.
+// Upper limits of a client account's settings. They apply for each router.
 const (
 	maxAccountWeight = 1000
 	maxAccountQueue  = 10000
@@ -25,15 +25,15 @@
 // ClientAccount is a customer of the deployment that may send requests.
 type ClientAccount struct {
 	ID string `json:"id"`
-	// KeySHA256 holds the API keys as SHA-256 in hex; the keys themselves are
-	// never written down.
+	// KeySHA256 holds the SHA-256 digests of the API keys in hex; the keys
+	// themselves are never stored.
 	KeySHA256 []string `json:"key_sha256"`
 	Class     Class    `json:"class"`
-	Weight    int      `json:"weight"`     // share when work must wait
-	MaxQueued int      `json:"max_queued"` // waiting requests for each router
+	Weight    int      `json:"weight"`     // relative share of capacity when requests are queued
+	MaxQueued int      `json:"max_queued"` // queued requests for each router
 }
 
-// WithDefaults returns the account with its empty fields filled.
+// WithDefaults returns the account with empty fields set to their defaults.
 func (a ClientAccount) WithDefaults() ClientAccount {
 	if a.Class == "" {
 		a.Class = ClassInteractive
@@ -47,7 +47,8 @@
 	return a
 }
 
-// Validate returns everything wrong with the account at path.
+// Validate returns all errors of the account; path is its position in the
+// manifest.
 func (a ClientAccount) Validate(path string) Faults {
 	var f Faults
 	f = f.Identifier(path+".id", a.ID)
@@ -66,8 +67,8 @@
 	return f.Between(path+".max_queued", a.MaxQueued, 1, maxAccountQueue)
 }
 
-// HasKey reports whether the API key is one of the account's. The comparison
-// takes the same time wherever the digests differ.
+// HasKey reports whether the API key belongs to the account. The digests are
+// compared in constant time.
 func (a ClientAccount) HasKey(key string) bool {
 	sum := sha256.Sum256([]byte(key))
 	found := 0
@@ -84,8 +85,8 @@
 // ClientAccounts is a list of client accounts.
 type ClientAccounts []ClientAccount
 
-// ByKey returns the account that an API key belongs to. Every account is
-// compared, so that the time taken does not tell which one matched.
+// ByKey returns the account that an API key belongs to. All accounts are
+// compared, so that the time taken does not reveal which one matched.
 func (a ClientAccounts) ByKey(key string) (ClientAccount, bool) {
 	var found ClientAccount
 	ok := false
--- a/code.go
+++ b/code.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// Outcome says what became of a caller's request.
+// Outcome says whether a caller's request was executed.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	// NotRun: no endpoint started it, and none will.
+	// NotRun means that no endpoint started the request, and none will.
 	NotRun Outcome = "not_run"
-	// Ran: an endpoint ran it.
+	// Ran means that an endpoint executed the request.
 	Ran Outcome = "ran"
-	// OutcomeUnknown: it may have run; it will not be sent again.
+	// OutcomeUnknown means that the request may have been executed. It will
+	// not be sent again.
 	OutcomeUnknown Outcome = "outcome_unknown"
-	// NoRequest marks codes that operators meet and callers do not.
+	// NoRequest is the outcome of codes that only operators receive.
 	NoRequest Outcome = "no_request"
 )
 
-// Code is a stable name for a refusal, an error or a state.
+// Code is a stable name of a refusal, an error or a state.
 type Code string
 
-// The codes. Their meaning stands in Codes, the only source for the callers'
-// errors, rwhctl explain and docs/CODES.md.
+// The codes. Codes describes them; error responses to callers, rwhctl explain
+// and docs/CODES.md are generated from it.
 const (
 	CodeBadRequest         Code = "bad_request"
 	CodeTooLarge           Code = "too_large"
@@ -58,21 +59,21 @@
 	CodeControllerUnreachable Code = "controller_unreachable"
 )
 
-// CodeInfo is what a reader needs to know of a code.
+// CodeInfo describes a code to callers and operators.
 type CodeInfo struct {
 	Code       Code
 	HTTPStatus int
 	Outcome    Outcome
-	Message    string // one plain sentence
+	Message    string // one sentence
 	Cause      string
 	NextStep   string
-	RetryAfter time.Duration // zero: do not retry the same request
+	RetryAfter time.Duration // zero means that the same request must not be retried
 }
 
-// Codes lists every code in the order of the documentation.
+// Codes returns all codes in the order of the documentation.
 func Codes() []CodeInfo { return append([]CodeInfo(nil), codes...) }
 
-// Info returns what is known of the code; ok is false for a code that does not
+// Info returns the description of the code; ok is false if the code does not
 // exist.
 func (c Code) Info() (info CodeInfo, ok bool) {
 	for _, one := range codes {
--- a/codes_test.go
+++ b/codes_test.go
@@ -10,7 +10,7 @@
 	"redwinghall"
 )
 
-var update = flag.Bool("update", false, "write the pages that are made from code")
+var update = flag.Bool("update", false, "write the generated documentation pages")
 
 func TestCodesPage(t *testing.T) {
 	const page = "docs/CODES.md"
@@ -27,7 +27,7 @@
 	seen := map[redwinghall.Code]bool{}
 	for _, info := range redwinghall.Codes() {
 		t.Run(string(info.Code), func(t *testing.T) {
-			require.False(t, seen[info.Code], "a code stands twice")
+			require.False(t, seen[info.Code], "duplicate code")
 			seen[info.Code] = true
 			require.Regexp(t, `^[a-z_]+$`, info.Code)
 			for _, sentence := range []string{info.Message, info.Cause, info.NextStep} {
--- a/doc.go
+++ b/doc.go
@@ -1,9 +1,9 @@
-// Package redwinghall holds the nouns and interfaces of a serving system for
-// models whose replicas span several VMs.
+// Package redwinghall defines the domain types and interfaces of a serving
+// system for models whose replicas span several VMs.
 //
-// Every noun is one file: its type, its validation and its verbs. Values are
-// immutable; a With method returns a changed copy. Interfaces for behaviour
-// that varies (Table, Engine, VMLister, Picker, ...) are declared here too and
-// implemented in the packages below. Nothing in this package does I/O, and no
-// function in it reads a clock: the present time is always an argument.
+// Each domain type has a file of its own, with its validation and methods.
+// Values are immutable; a With method returns a modified copy. Interfaces with
+// several implementations (Table, Engine, VMLister, Picker, ...) are also
+// declared here and implemented in the packages below. Nothing in this package
+// does I/O or reads a clock: the current time is always an argument.
 package redwinghall
--- a/duration.go
+++ b/duration.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Duration is a time.Duration that JSON writes as text, such as "1.5s".
+// Duration is a time.Duration that is encoded in JSON as a string such as "1.5s".
 type Duration time.Duration
 
-// Seconds returns the duration as the header Retry-After wants it: in whole
+// Seconds returns the duration as a value of the Retry-After header: whole
 // seconds, rounded up, at least one.
 func (d Duration) Seconds() string {
 	seconds := (time.Duration(d) + time.Second - 1) / time.Second
 	return strconv.Itoa(max(1, int(seconds)))
 }
 
-// MarshalJSON writes the duration as Go's duration text.
+// MarshalJSON encodes the duration in the format of time.Duration.String.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads Go's duration text; a bare number is refused because it
-// carries no unit.
+// UnmarshalJSON decodes a string in the format of time.ParseDuration. A number
+// is rejected because it has no unit.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
@@ -31,11 +31,11 @@
 	}
 	v, err := time.ParseDuration(text)
 	if err != nil {
-		return fmt.Errorf("want a duration, such as \"1.5s\"")
+		return fmt.Errorf("want a duration such as \"1.5s\"")
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// Std returns the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
--- a/duration_test.go
+++ b/duration_test.go
@@ -9,8 +9,8 @@
 	"redwinghall"
 )
 
-// Callers who come back too early are refused again: a time to come back is
-// never rounded down, and never nothing.
+// A caller that retries too early is refused again. Retry-After must therefore
+// never be rounded down, and never be zero.
 func TestSecondsAreRoundedUp(t *testing.T) {
 	t.Parallel()
 	for want, d := range map[string]time.Duration{"1": time.Millisecond, "2": 2 * time.Second, "3": 2001 * time.Millisecond} {
--- a/engine.go
+++ b/engine.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Role is what an engine is told to do in a group.
+// Role is the role of an engine in a group.
 type Role string
 
 // The roles of an engine.
@@ -13,7 +13,8 @@
 )
 
 // Order tells an engine which group it belongs to and what to load. Engines
-// that check fencing refuse an order whose number is lower than one obeyed.
+// that check the fencing token refuse an order whose token is lower than that of
+// an order they have accepted.
 type Order struct {
 	Fencing    uint64   `json:"fencing"`
 	Group      string   `json:"group"`
@@ -25,13 +26,13 @@
 	Adapters   []string `json:"adapters,omitempty"`
 }
 
-// Engine is the control side of one engine endpoint.
+// Engine is the control interface of engine endpoints.
 type Engine interface {
 	Report(ctx context.Context, address string) (Report, error)
 	Order(ctx context.Context, address string, order Order) error
 }
 
-// VMLister reads the platform's list of VMs, which lags behind reality.
+// VMLister reads the platform's list of VMs, which may be out of date.
 type VMLister interface {
 	VMs(ctx context.Context) (VMs, error)
 }
--- a/explain.go
+++ b/explain.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Explain returns a code's entry for people, as rwhctl explain prints it.
+// Explain returns the text that rwhctl explain prints for a code.
 func Explain(info CodeInfo) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "code:        %s\n", info.Code)
@@ -26,7 +26,7 @@
 	return d.String() + " or the time in Retry-After"
 }
 
-// CodesMarkdown returns the page docs/CODES.md, made from the table.
+// CodesMarkdown returns the page docs/CODES.md, generated from the table of codes.
 func CodesMarkdown() string {
 	var out strings.Builder
 	out.WriteString("# Codes\n\nEvery refusal, error and state has one of these codes. This page is made from the table in `code.go`;\n" +
--- a/group.go
+++ b/group.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Member is one VM's place in a group.
+// Member is one VM of a group.
 type Member struct {
 	VM      string `json:"vm"`
 	Address string `json:"address"`
 }
 
-// Group is a replica of a model: VMs of one fabric domain that serve together
-// or not at all. The first member leads: it takes the requests.
+// Group is a replica of a model: VMs of one fabric domain that can serve only
+// together. The first member is the leader, which receives the requests.
 type Group struct {
 	ID               string   `json:"id"`
 	AvailabilityZone string   `json:"availability_zone"`
@@ -18,36 +18,37 @@
 	Version          string   `json:"version"`
 	Adapters         []string `json:"adapters,omitempty"`
 	Members          []Member `json:"members"`
-	// Generation rises by one each time the members are ordered anew.
+	// Generation increases by one each time new orders are sent to the members.
 	Generation uint64 `json:"generation"`
-	// Leaving groups finish what they have and take no new work.
+	// A leaving group finishes its requests and accepts no new ones.
 	Leaving bool `json:"leaving,omitempty"`
-	// Dissolved groups are kept as a last word, so that an older copy of the
-	// group arriving late from a peer is not taken for a new group.
+	// The record of a dissolved group is kept, so that an older copy of the
+	// group that arrives late from a peer is not taken for a new group.
 	Dissolved bool `json:"dissolved,omitempty"`
 
 	MaxInFlight  int `json:"max_in_flight"`
 	ColdInFlight int `json:"cold_in_flight"`
-	WarmAfter    int `json:"warm_after"` // completed requests until warm
+	WarmAfter    int `json:"warm_after"` // completed requests until the group is warm
 }
 
-// Leader returns the member that takes requests. A valid group has one.
+// Leader returns the member that receives requests. It panics if the group has no
+// members; a valid group has at least one.
 func (g Group) Leader() Member { return g.Members[0] }
 
-// WithGeneration returns the group under another generation.
+// WithGeneration returns a copy of the group with generation n.
 func (g Group) WithGeneration(n uint64) Group {
 	g.Generation = n
 	return g
 }
 
-// WithLeaving returns the group marked as leaving.
+// WithLeaving returns a copy of the group marked as leaving.
 func (g Group) WithLeaving() Group {
 	g.Leaving = true
 	return g
 }
 
-// WithDissolved returns the final record of the group, by which peers hear that
-// it is gone.
+// WithDissolved returns the final record of the group, which tells peers that
+// the group no longer exists.
 func (g Group) WithDissolved() Group {
 	g.Leaving = true
 	g.Dissolved = true
@@ -57,7 +58,8 @@
 // Groups is a list of groups.
 type Groups []Group
 
-// Serving reports how many groups of a model's version may take work.
+// Serving returns the number of groups of a model's version that may accept
+// requests.
 func (g Groups) Serving(model, version string) int {
 	n := 0
 	for _, one := range g {
@@ -68,31 +70,34 @@
 	return n
 }
 
-// GroupHealth is a whole group's health, as one process observed it.
+// GroupHealth is the health of a group, as observed by one process.
 type GroupHealth struct {
 	Group      string
 	Generation uint64
-	// SeenAt is when the member that was seen longest ago was last seen alive
-	// under this generation with its first start id. Zero: not all were seen.
+	// SeenAt is the earliest of the times at which each member was last seen
+	// alive in this generation with its first start id. It is zero until all
+	// members were seen.
 	SeenAt time.Time
-	// LostAt is when a member last refused a connection: its process is gone.
+	// LostAt is when a member last refused a connection, which means that its
+	// process has ended.
 	LostAt time.Time
-	// Broken says that a member was found restarted, or in another group. It
-	// is final for the generation: only a new order can make the group whole.
+	// Broken is set when a member was found restarted or in another group. It
+	// stays set for the generation: only new orders can make the group healthy
+	// again.
 	Broken    bool
 	Ready     bool
 	Running   int
-	Completed uint64 // by the leader since its start
+	Completed uint64 // requests completed by the leader since its start
 }
 
 // Healthy reports whether every member was seen alive no longer than bound ago
-// under the group's present generation.
+// in the group's current generation.
 //
-// Guard: a replica that lost a VM answers nothing or garbage, and a router
-// that trusts an old list keeps sending work there; the caller sees a stall.
-// The bound turns silence into absence, and the generation ties the sighting
-// to the very members that the group now has. A member that refuses a
-// connection is known to be gone, and takes the group out without the wait.
+// A replica that lost a VM sends nothing or garbage, so callers of a router that
+// relies on an outdated list see stalled responses. A member that has been silent
+// for longer than the bound is therefore treated as lost, and the generation
+// ensures that the observation is of the group's current members. When a member
+// refuses a connection, the group is unhealthy at once.
 func (h GroupHealth) Healthy(g Group, now time.Time, bound time.Duration) bool {
 	if h.Broken || !h.Ready || h.Generation != g.Generation || !h.SeenAt.After(h.LostAt) {
 		return false
--- a/manifest_test.go
+++ b/manifest_test.go
@@ -46,13 +46,13 @@
 	}
 }
 
-func TestManifestTwice(t *testing.T) {
+func TestManifestDuplicates(t *testing.T) {
 	m, faults := redwinghall.ParseManifest([]byte(goodManifest))
 	require.Empty(t, faults)
 	m.Models = append(m.Models, m.Models[0])
 	m.ClientAccounts = append(m.ClientAccounts, m.ClientAccounts[0])
 	m.Services = append(m.Services, m.Services[0])
-	require.Len(t, m.Validate(), 4) // both ids, the key, the service
+	require.Len(t, m.Validate(), 4) // the ids of the model, the account and the service, and the key
 }
 
 func TestCanonicalIsStable(t *testing.T) {
@@ -94,7 +94,7 @@
 		}
 		again, faults := redwinghall.ParseManifest(data)
 		if len(faults) > 0 {
-			t.Fatalf("an accepted manifest is refused in its canonical form: %v", faults)
+			t.Fatalf("the canonical form of a valid manifest is refused: %v", faults)
 		}
 		if _, hash2, _ := again.Canonical(); hash != hash2 {
 			t.Fatal("the canonical form is not stable")
--- a/model.go
+++ b/model.go
@@ -14,20 +14,22 @@
 	ID       string   `json:"id"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
-	// VMsPerReplica VMs of one fabric domain serve one copy of the model.
+	// VMsPerReplica is the number of VMs of one fabric domain that serve one
+	// replica of the model.
 	VMsPerReplica     int `json:"vms_per_replica"`
 	AcceleratorsPerVM int `json:"accelerators_per_vm"`
 	// Replicas is the number of groups wanted in each availability zone.
 	Replicas       map[string]int `json:"replicas"`
 	ClientAccounts []string       `json:"client_accounts"`
-	// MaxInFlight is what a warm group bears at once, ColdInFlight what it
-	// bears until it has completed WarmAfter requests.
+	// MaxInFlight is the number of concurrent requests that a warm group
+	// handles. Until a group has completed WarmAfter requests it is cold and
+	// handles ColdInFlight.
 	MaxInFlight  int `json:"max_in_flight"`
 	ColdInFlight int `json:"cold_in_flight"`
 	WarmAfter    int `json:"warm_after"`
 }
 
-// WithDefaults returns the model with its empty fields filled.
+// WithDefaults returns the model with empty fields set to their defaults.
 func (m Model) WithDefaults() Model {
 	if m.Adapters == nil {
 		m.Adapters = []string{}
@@ -47,8 +49,8 @@
 	return m
 }
 
-// Validate returns everything wrong with the model at path. accounts holds the
-// ids that the manifest defines.
+// Validate returns all errors of the model; path is its position in the manifest.
+// accounts holds the ids of the client accounts that the manifest defines.
 func (m Model) Validate(path string, accounts map[string]bool) Faults {
 	var f Faults
 	f = f.Identifier(path+".id", m.ID)
--- a/operror.go
+++ b/operror.go
@@ -4,10 +4,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// OpError is the shape of every package's error type: the operation that
-// failed (as Type.Method), a kind that callers may switch on, and the cause.
+// OpError is the base of each package's error type: the operation that failed
+// (as Type.Method), a kind that callers may switch on, and the cause.
 //
-// A package declares its own kinds and names its error by an alias:
+// A package declares its own kinds and an alias for its error type:
 //
 //	type Kind string
 //	type Error = redwinghall.OpError[Kind]
@@ -17,8 +17,9 @@
 	Err  error
 }
 
-// NewOpError returns an error of the given operation and kind. A nil cause is
-// allowed; a cause is wrapped by eris so that logs can print where it arose.
+// NewOpError returns an error of the given operation and kind. The cause may be
+// nil; otherwise it is wrapped with eris, so that logs can include its stack
+// trace.
 func NewOpError[K ~string](op string, kind K, cause error) *OpError[K] {
 	if cause != nil {
 		cause = eris.Wrap(cause, op)
@@ -37,8 +38,8 @@
 // Unwrap returns the cause.
 func (e *OpError[K]) Unwrap() error { return e.Err }
 
-// KindOf returns the kind of the first error in err's chain that has kinds of
-// type K, and "" when there is none.
+// KindOf returns the kind of the first error in err's chain whose kind is of
+// type K, or "" if there is none.
 func KindOf[K ~string](err error) K {
 	var e *OpError[K]
 	if eris.As(err, &e) {
--- a/row_value.go
+++ b/row_value.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// RowValue returns a row's value. It takes structs of plain fields only, which
-// always marshal.
+// RowValue encodes v as a row value. It panics if v cannot be marshaled, so v must
+// be a struct that always can.
 func RowValue(v any) json.RawMessage {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/service.go
+++ b/service.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// Service is a plain service beside the model engines that calls are routed to.
+// Service is a plain service, one that is not a model engine, to which calls are
+// routed.
 type Service struct {
 	ID             string   `json:"id"`
 	ClientAccounts []string `json:"client_accounts"`
-	// Repeatable services bear a call more than once. Calls to the others
-	// that change something carry an Idempotency-Key and run at most once.
+	// Repeatable means that calls may be executed more than once. For other
+	// services, calls with unsafe methods must have an Idempotency-Key and
+	// run at most once.
 	Repeatable bool `json:"repeatable"`
-	// Timeout bounds how long a caller waits for one call.
+	// Timeout is the longest time that a caller waits for one call.
 	Timeout Duration `json:"timeout"`
 }
 
-// WithDefaults returns the service with its empty fields filled.
+// WithDefaults returns the service with empty fields set to their defaults.
 func (s Service) WithDefaults() Service {
 	if s.Timeout == 0 {
 		s.Timeout = Duration(5 * time.Second)
@@ -21,7 +23,8 @@
 	return s
 }
 
-// Validate returns everything wrong with the service at path.
+// Validate returns all errors of the service; path is its position in the
+// manifest, and accounts holds the ids of the client accounts that it defines.
 func (s Service) Validate(path string, accounts map[string]bool) Faults {
 	var f Faults
 	f = f.Identifier(path+".id", s.ID)
@@ -32,7 +35,7 @@
 // Allows reports whether a client account may call the service.
 func (s Service) Allows(account string) bool { return contains(s.ClientAccounts, account) }
 
-// ServiceEndpoints lists where a zone's plain services run.
+// ServiceEndpoints lists the endpoints of a zone's plain services.
 type ServiceEndpoints []ServiceEndpoint
 
 // ServiceEndpoint is one VM that runs a plain service.
--- a/table.go
+++ b/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Row is one record of the platform's table. Version rises with each write;
+// Row is one row of the platform's table. Version increases with each write;
 // zero means that the row does not exist.
 type Row struct {
 	Key     string          `json:"key"`
@@ -20,31 +20,32 @@
 	Expect int64           `json:"expect"`
 	Value  json.RawMessage `json:"value,omitempty"`
 	Delete bool            `json:"delete,omitempty"`
-	// CheckOnly leaves the row as it is and only demands its version.
+	// CheckOnly checks the version and leaves the row unchanged.
 	CheckOnly bool `json:"check_only,omitempty"`
 }
 
-// Txn is a set of writes that happen all or not at all.
+// Txn is a set of writes that are applied atomically.
 type Txn struct {
 	Writes []Write `json:"writes"`
 }
 
 // Table is the platform's transactional table service.
 type Table interface {
-	// Read returns the rows of the keys in order; an absent row has version 0.
+	// Read returns the rows of the keys in the same order; a row that does
+	// not exist has version 0.
 	Read(ctx context.Context, keys ...string) ([]Row, error)
-	// Scan returns the rows whose key starts with prefix, in key order.
+	// Scan returns the rows whose keys start with prefix, in key order.
 	Scan(ctx context.Context, prefix string) ([]Row, error)
-	// Commit carries out the transaction. Its error's kind is TableConflict
-	// (nothing was written), TableUnavailable (nothing was sent) or
-	// TableUnknown (it may have been written, or may yet be).
+	// Commit executes the transaction. The kind of its error is TableConflict
+	// (nothing was written), TableUnavailable (nothing was written) or
+	// TableUnknown (the writes may have been applied, or may still be).
 	Commit(ctx context.Context, txn Txn) error
 }
 
-// TableKind says what a table error means for the operation.
+// TableKind is the kind of a table error: what it means for the operation.
 type TableKind string
 
-// The kinds of table error.
+// The kinds of table errors.
 const (
 	TableConflict    TableKind = "table_conflict"
 	TableUnavailable TableKind = "table_unavailable"
@@ -54,8 +55,8 @@
 // TableError is a failed table operation.
 type TableError = OpError[TableKind]
 
-// ConflictError is the cause of a TableConflict: the keys whose versions were
-// not as expected.
+// ConflictError is the cause of a TableConflict: it lists the keys whose versions
+// were not the expected ones.
 type ConflictError struct {
 	Keys []string
 }
--- a/vm.go
+++ b/vm.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// VMState is what the platform's list says of a VM. The list lags behind
-// reality, so it is never taken as proof that a VM is alive.
+// VMState is the state of a VM in the platform's list. The list may be out of
+// date, so it is never taken as proof that a VM is alive.
 type VMState string
 
 // The states of a VM in the platform's list.
@@ -12,7 +12,7 @@
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one machine with accelerators, or one that runs a plain service.
+// VM is a machine with accelerators, or one that runs a plain service.
 type VM struct {
 	ID               string  `json:"id"`
 	AvailabilityZone string  `json:"availability_zone"`
@@ -24,7 +24,7 @@
 	Service string `json:"service,omitempty"`
 }
 
-// VMs is a list of VMs as the platform gives it.
+// VMs is the platform's list of VMs.
 type VMs []VM
 
 // Workers returns the live VMs of a zone that can join a group.
@@ -49,7 +49,7 @@
 	return out
 }
 
-// ByID returns the VMs keyed by id.
+// ByID returns a map of the VMs by id.
 func (v VMs) ByID() map[string]VM {
 	out := make(map[string]VM, len(v))
 	for _, vm := range v {
@@ -58,19 +58,20 @@
 	return out
 }
 
-// Report is what an endpoint says of itself when it is asked. Load lags.
+// Report is the status that an endpoint reports on request. Its load figures may
+// be out of date.
 type Report struct {
-	StartID    string `json:"start_id"`   // new at every process start
-	Group      string `json:"group"`      // last order obeyed; empty when none
+	StartID    string `json:"start_id"`   // changes at every start of the process
+	Group      string `json:"group"`      // of the last order accepted; empty if none
 	Generation uint64 `json:"generation"` // of that order
 	Model      string `json:"model"`
 	Version    string `json:"version"`
 	Ready      bool   `json:"ready"` // the ordered weights are loaded
 	Running    int    `json:"running"`
-	Completed  uint64 `json:"completed"` // requests finished since start
+	Completed  uint64 `json:"completed"` // requests completed since the start
 }
 
-// Sighting is a report and when it was received, by the receiver's clock.
+// Sighting is a report and the time of its receipt by the receiver's clock.
 type Sighting struct {
 	Report Report
 	At     time.Time
