--- a/kernel/clock.go
+++ b/kernel/clock.go
@@ -6,11 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// BootTime returns the time since the machine started, as a time.
+// BootTime returns the time since the machine was booted, as a time.Time. It
+// includes time during which the machine was suspended.
 //
-// Guard: Go's steady clock stands still while a machine is suspended. A lease
-// that is counted by it would still seem held after a suspension, although
-// another process has taken it over. This clock counts suspended time.
+// Go's monotonic clock stops while the machine is suspended. A lease measured by
+// it would still appear to be held after a suspension, although another process
+// may have taken it over.
 func BootTime() time.Time {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -6,22 +6,21 @@
 	"sync"
 )
 
-// Registry holds the plug-ins of one kind by name. Plug-ins register
-// themselves from their package's init, so a program has those that it
-// imports.
+// Registry holds the plug-ins of one kind by name. Plug-ins register themselves in
+// their package's init function, so a program contains those that it imports.
 type Registry[T any] struct {
 	mu    sync.Mutex
 	kind  string
 	items map[string]T
 }
 
-// NewRegistry returns an empty registry; kind stands in its errors.
+// NewRegistry returns an empty registry; its error messages name the kind.
 func NewRegistry[T any](kind string) *Registry[T] {
 	return &Registry[T]{kind: kind, items: map[string]T{}}
 }
 
-// Register adds a plug-in. A name taken twice is a mistake in the program and
-// panics.
+// Register adds a plug-in. It panics if the name is already registered, which is
+// a programming error.
 func (r *Registry[T]) Register(name string, item T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,7 +30,8 @@
 	r.items[name] = item
 }
 
-// Get returns the plug-in of a name, or an error that lists the known names.
+// Get returns the plug-in registered under a name, or an error that lists the
+// registered names.
 func (r *Registry[T]) Get(name string) (T, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,7 +42,7 @@
 	return item, nil
 }
 
-// Names returns the registered names in order.
+// Names returns the registered names in sorted order.
 func (r *Registry[T]) Names() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/kernel/serve.go
+++ b/kernel/serve.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// Serve runs an HTTP server on a listener until the group stops, and then
-// closes it with its connections.
+// Serve runs an HTTP server on a listener until the group stops, and then closes
+// the server and its connections.
 func (g *Group) Serve(name string, server *http.Server, listener net.Listener) {
 	g.Go(name, func(context.Context) error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/kernel/sleep.go
+++ b/kernel/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits and reports whether ctx is still alive.
+// Sleep waits for d and returns true, or returns false as soon as ctx is done.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
