--- a/tablehttp/head.go
+++ b/tablehttp/head.go
@@ -13,21 +13,22 @@
 	"redwinghall/peer"
 )
 
-// Keys of the rows that hold what operators decided.
+// Keys of the rows that hold accepted manifests and zone states.
 const (
-	KeyHead         = "head"
-	keyContent      = "manifest_content/"
-	keySubmission   = "submission/"
-	readIntervalPer = 3 // reads of the head in each interval by a whole zone
+	KeyHead              = "head"
+	keyContent           = "manifest_content/"
+	keySubmission        = "submission/"
+	zoneReadsPerInterval = 3 // approximate reads of the head row in each interval by all processes of a zone
 )
 
-// KeyContent returns the key of a manifest by its hash.
+// KeyContent returns the key of the row that holds the manifest with a hash.
 func KeyContent(hash string) string { return keyContent + hash }
 
-// KeySubmission returns the key that remembers an accepted submission.
+// KeySubmission returns the key of the row that records an accepted submission.
 func KeySubmission(id string) string { return keySubmission + id }
 
-// Head is the one row that says what is in force: one read tells it all.
+// Head is the value of the head row, which holds the generation and hash of the
+// manifest in force and the states of all zones, so that one read returns them.
 type Head struct {
 	Generation uint64                                  `json:"generation"`
 	Hash       string                                  `json:"hash"`
@@ -35,7 +36,7 @@
 	Zones      map[string]redwinghall.AvailabilityZone `json:"zones"`
 }
 
-// ParseHead reads the head row; an absent row is an empty head.
+// ParseHead decodes the head row. If the row does not exist, the head is empty.
 func ParseHead(row redwinghall.Row) (Head, error) {
 	var h Head
 	if row.Version == 0 {
@@ -45,7 +46,7 @@
 	return h, err
 }
 
-// WithZone returns the head with one zone's decision replaced.
+// WithZone returns a copy of the head with the state of one zone replaced.
 func (h Head) WithZone(z redwinghall.AvailabilityZone) Head {
 	zones := make(map[string]redwinghall.AvailabilityZone, len(h.Zones)+1)
 	for id, one := range h.Zones {
@@ -56,9 +57,9 @@
 	return h
 }
 
-// Follower reads the head from time to time and hands what is new to the
-// peers. It is one of the two paths on which decisions reach a process; the
-// other is the exchange with peers.
+// Follower reads the head row periodically and publishes newer values to the
+// peers. Operators' changes reach a process in two ways: through the Follower and
+// through the exchange with peers.
 type Follower struct {
 	table    redwinghall.Table
 	node     *peer.Node
@@ -66,17 +67,17 @@
 
 	mu          sync.Mutex
 	nextRead    time.Time
-	unreachable time.Time // since when the table does not answer; zero: it does
+	unreachable time.Time // since when the table has not responded; zero if it responds
 }
 
-// NewFollower returns a follower that reads about once in each interval while
-// the zone is small. In a large zone its processes share the reading, so that
-// the platform's load does not grow with the number of processes.
+// NewFollower returns a follower that reads about once in each interval if the
+// zone is small. In a larger zone each process reads less often, so that the load
+// on the platform does not grow with the number of processes.
 func NewFollower(table redwinghall.Table, node *peer.Node, interval time.Duration) *Follower {
 	return &Follower{table: table, node: node, interval: interval}
 }
 
-// Tick reads the head if it is due.
+// Tick reads the head row if a read is due.
 func (f *Follower) Tick(ctx context.Context, now time.Time) {
 	f.mu.Lock()
 	due := !now.Before(f.nextRead)
@@ -85,11 +86,11 @@
 		return
 	}
 	err := f.Read(ctx)
-	zone := len(f.node.Members(f.node.Self.AvailabilityZone))
-	f.note(now, err, f.interval*time.Duration(max(1, zone/readIntervalPer)))
+	members := len(f.node.Members(f.node.Self.AvailabilityZone))
+	f.recordRead(now, err, f.interval*time.Duration(max(1, members/zoneReadsPerInterval)))
 }
 
-func (f *Follower) note(now time.Time, err error, wait time.Duration) {
+func (f *Follower) recordRead(now time.Time, err error, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nextRead = now.Add(wait)
@@ -106,14 +107,15 @@
 	}
 }
 
-// UnreachableSince returns since when the table does not answer; zero: it does.
+// UnreachableSince returns since when the table has not responded, or the zero time
+// if it responds.
 func (f *Follower) UnreachableSince() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.unreachable
 }
 
-// Read takes the head as it is now.
+// Read reads the head row and publishes what is newer than the local copy.
 func (f *Follower) Read(ctx context.Context) error {
 	rows, err := f.table.Read(ctx, KeyHead)
 	if err != nil {
--- a/tablehttp/platform.go
+++ b/tablehttp/platform.go
@@ -1,5 +1,5 @@
-// Package tablehttp speaks to the platform's services: the transactional table
-// and the list of VMs, as JSON over HTTP.
+// Package tablehttp is a client of the platform's services, the transactional
+// table and the list of VMs, which use JSON over HTTP.
 package tablehttp
 
 import (
@@ -25,47 +25,48 @@
 	PathVMs    = "/v1/vms"
 )
 
-// ReadRequest asks for the rows of keys.
+// ReadRequest is the body of a request for the rows of keys.
 type ReadRequest struct {
 	Keys []string `json:"keys"`
 }
 
-// ScanRequest asks for the rows below a prefix.
+// ScanRequest is the body of a request for the rows whose keys have a prefix.
 type ScanRequest struct {
 	Prefix string `json:"prefix"`
 }
 
-// RowsResponse carries rows.
+// RowsResponse is the response to a ReadRequest or ScanRequest.
 type RowsResponse struct {
 	Rows []redwinghall.Row `json:"rows"`
 }
 
-// ConflictResponse names the keys that stopped a commit (status 409).
+// ConflictResponse lists the keys because of which a commit failed (status 409).
 type ConflictResponse struct {
 	Keys []string `json:"keys"`
 }
 
-// VMsResponse carries the platform's list of VMs.
+// VMsResponse is the response that holds the platform's list of VMs.
 type VMsResponse struct {
 	VMs redwinghall.VMs `json:"vms"`
 }
 
 const (
-	defaultTimeout = 2 * time.Second
-	dialTimeout    = 500 * time.Millisecond
-	maxAnswer      = 64 << 20
-	maxIdle        = 16
+	defaultTimeout   = 2 * time.Second
+	dialTimeout      = 500 * time.Millisecond
+	maxResponseBytes = 64 << 20
+	maxIdleConns     = 16
 )
 
-// Client is a Table and a VMLister over HTTP.
+// Client implements redwinghall.Table and redwinghall.VMLister over HTTP.
 type Client struct {
 	base   string
 	client *http.Client
-	// Timeout bounds each call, so that a silent table is an error and no wait.
+	// Timeout limits each call, so that a table that does not respond causes
+	// an error.
 	Timeout time.Duration
 }
 
-// NewClient returns a client of the platform at host:port address.
+// NewClient returns a client of the platform at a host:port address.
 func NewClient(address string) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{
@@ -73,7 +74,7 @@
 		Timeout: defaultTimeout,
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
-			MaxIdleConnsPerHost: maxIdle,
+			MaxIdleConnsPerHost: maxIdleConns,
 			IdleConnTimeout:     10 * time.Second,
 		}},
 	}
@@ -87,7 +88,7 @@
 	}
 	if len(out.Rows) != len(keys) {
 		return nil, redwinghall.NewOpError("Client.Read", redwinghall.TableUnavailable,
-			fmt.Errorf("asked for %d rows, got %d", len(keys), len(out.Rows)))
+			fmt.Errorf("requested %d rows, got %d", len(keys), len(out.Rows)))
 	}
 	return out.Rows, nil
 }
@@ -112,8 +113,9 @@
 	return out.VMs, err
 }
 
-// post sends in and reads out. An error after the bytes may have left is
-// TableUnknown; one before, or a plain refusal, is TableUnavailable.
+// post sends in and decodes the response into out. The kind of an error is
+// TableUnavailable if nothing was sent or the request was refused, and
+// TableUnknown if the request may have been sent.
 func (c *Client) post(ctx context.Context, op, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -126,18 +128,18 @@
 		return redwinghall.NewOpError(op, redwinghall.TableUnavailable, err)
 	}
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := c.client.Do(request)
+	response, err := c.client.Do(request)
 	if err != nil {
-		// An idle connection that went silent must not swallow the next call too.
+		// Idle connections may be dead too, and the next call must not use one.
 		c.client.CloseIdleConnections()
 		return redwinghall.NewOpError(op, kindOfSendError(err), err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return redwinghall.NewOpError(op, redwinghall.TableUnknown, err)
 	}
-	return c.decode(op, answer.StatusCode, data, out)
+	return c.decode(op, response.StatusCode, data, out)
 }
 
 func (c *Client) decode(op string, status int, data []byte, out any) error {
@@ -154,9 +156,9 @@
 		}
 		return redwinghall.NewOpError(op, redwinghall.TableConflict, &redwinghall.ConflictError{Keys: conflict.Keys})
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest:
-		return redwinghall.NewOpError(op, redwinghall.TableUnavailable, fmt.Errorf("status %d", status))
+		return redwinghall.NewOpError(op, redwinghall.TableUnavailable, fmt.Errorf("HTTP status %d", status))
 	default:
-		return redwinghall.NewOpError(op, redwinghall.TableUnknown, fmt.Errorf("status %d", status))
+		return redwinghall.NewOpError(op, redwinghall.TableUnknown, fmt.Errorf("HTTP status %d", status))
 	}
 }
 
