--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -1,5 +1,5 @@
-// Package strictjson decodes JSON settings and manifests, and reports every
-// unknown field and wrong type at once instead of only the first.
+// Package strictjson decodes JSON settings and manifests. It reports all unknown
+// fields and type errors at once, not only the first one.
 package strictjson
 
 import (
@@ -12,15 +12,14 @@
 	"strings"
 )
 
-// Problem is one thing wrong with the document, at a path such as
-// "models[0].replicas".
+// Problem is one error in the document, at a path such as "models[0].replicas".
 type Problem struct {
 	Path    string
 	Message string
 }
 
-// Decode reads data into dst, a pointer to a struct. It returns no problems
-// and a filled dst, or all problems and an undefined dst.
+// Decode decodes data into dst, which must be a pointer to a struct. If it returns
+// any problems, the content of dst is undefined.
 func Decode(data []byte, dst any) []Problem {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
@@ -29,7 +28,7 @@
 		return []Problem{{Path: "$", Message: "this is not valid JSON: " + err.Error()}}
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return []Problem{{Path: "$", Message: "text follows the JSON document"}}
+		return []Problem{{Path: "$", Message: "unexpected text follows the JSON document"}}
 	}
 	problems := check("", doc, reflect.TypeOf(dst).Elem())
 	if len(problems) > 0 {
@@ -92,8 +91,8 @@
 	return problems
 }
 
-// addFields lists a struct's fields by their JSON names; those of an embedded
-// struct stand beside its own.
+// addFields adds a struct's fields by their JSON names. The fields of an embedded
+// struct are added at the same level.
 func addFields(fields map[string]reflect.Type, t reflect.Type) {
 	for i := range t.NumField() {
 		field := t.Field(i)
