--- a/dial/dial.go
+++ b/dial/dial.go
@@ -1,4 +1,5 @@
-// Package dial tells calls that were never sent from those that may have been.
+// Package dial distinguishes requests that were never sent from those that may
+// have been.
 package dial
 
 import (
@@ -6,8 +7,8 @@
 	"net"
 )
 
-// Failed reports whether a call ended before its connection was open, so that
-// nothing of it was sent.
+// Failed reports whether err means that the connection could not be opened, so
+// that nothing of the request was sent.
 func Failed(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && opErr.Op == "dial"
