--- a/caller/budget.go
+++ b/caller/budget.go
@@ -28,8 +28,8 @@
 	return b
 }
 
-// Earn counts a request.
-func (b *Budget) Earn() {
+// RecordRequest counts a request.
+func (b *Budget) RecordRequest() {
 	if b.tokens.Add(b.percent) > maxRetries*retryCost {
 		b.tokens.Store(maxRetries * retryCost)
 	}
--- a/caller/budget_test.go
+++ b/caller/budget_test.go
@@ -16,7 +16,7 @@
 	const requests = 10000
 	retries := 0
 	for range requests {
-		budget.Earn()
+		budget.RecordRequest()
 		for range 3 {
 			if budget.Spend() {
 				retries++
@@ -32,7 +32,7 @@
 func TestRetryBudgetSavesOnlySoMuch(t *testing.T) {
 	budget := caller.NewBudget(10)
 	for range 100000 {
-		budget.Earn()
+		budget.RecordRequest()
 	}
 	retries := 0
 	for budget.Spend() {
--- a/caller/chat.go
+++ b/caller/chat.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	s.budget.Earn()
+	s.budget.RecordRequest()
 	relay := &relay{server: s, request: r, model: model, body: body, sink: sink,
 		sequence: newSequence(r.id, sink.position())}
 	return relay.run(ctx, prefixOf(asked))
--- a/caller/service.go
+++ b/caller/service.go
@@ -72,7 +72,7 @@
 
 // callRepeatable calls a service that bears a call more than once.
 func (s *Server) callRepeatable(ctx context.Context, w http.ResponseWriter, r *request, view *route.ServiceView) error {
-	s.budget.Earn()
+	s.budget.RecordRequest()
 	tryTimeout := view.Service.Timeout.Std() / serviceTries
 	var last error
 	for try, i := range rand.Perm(len(view.Endpoints)) {
