--- a/caller/relay.go
+++ b/caller/relay.go
@@ -74,7 +74,7 @@
 func (l *relay) run(ctx context.Context, prefix uint64) error {
 	var last error
 	fruitless := 0 // tries in a row that brought no chunk
-	for try := 0; fruitless < l.server.config.MaxTries; try++ {
+	for try := 0; fruitless < l.server.config.MaxAttempts; try++ {
 		if try > 0 && !l.server.budget.Spend() {
 			break
 		}
--- a/caller/server.go
+++ b/caller/server.go
@@ -27,7 +27,7 @@
 	// SettleTimeout is how much longer than its caller a service call may
 	// take before its outcome is recorded as unknown.
 	SettleTimeout time.Duration
-	MaxTries      int
+	MaxAttempts   int
 	// RetryShare is how many retries may follow 100 requests.
 	RetryPercent int
 }
@@ -52,8 +52,8 @@
 	if c.SettleTimeout == 0 {
 		c.SettleTimeout = 30 * time.Second
 	}
-	if c.MaxTries == 0 {
-		c.MaxTries = 4
+	if c.MaxAttempts == 0 {
+		c.MaxAttempts = 4
 	}
 	if c.RetryPercent == 0 {
 		c.RetryPercent = 10
--- a/caller/service.go
+++ b/caller/service.go
@@ -159,7 +159,7 @@
 		return redwinghall.NewOpError("Server.forwardService", redwinghall.CodeNoCapacity, nil)
 	}
 	tried := map[string]bool{}
-	for range s.config.MaxTries {
+	for range s.config.MaxAttempts {
 		where, ok := s.gateway(tried, func(g route.Gateway) bool { return slices.Contains(g.Services, view.Service.ID) })
 		if !ok {
 			break
--- a/daemon/router.go
+++ b/daemon/router.go
@@ -68,7 +68,7 @@
 		MaxBodyBytes: int64(s.MaxBodyBytes), MaxRequests: s.MaxRequests,
 		DefaultTimeout: s.DefaultTimeout.Std(), MaxTimeout: s.MaxTimeout.Std(),
 		StallTimeout: s.StallTimeout.Std(), SettleTimeout: s.SettleTimeout.Std(),
-		MaxTries: s.MaxTries, RetryPercent: s.RetryPercent,
+		MaxAttempts: s.MaxTries, RetryPercent: s.RetryPercent,
 	}, board, keeper, calls)
 	r := &Router{
 		settings: s, Node: node, Board: board, Server: server, Keeper: keeper,
