--- a/caller/once_test.go
+++ b/caller/once_test.go
@@ -102,7 +102,7 @@
 	d.Table.SetVMs(vms)
 	d.Submit("v1")
 	require.Eventually(t, func() bool {
-		endpoints := d.Routers[0].Board.View().Services[rwhtest.Service].Endpoints
+		endpoints := d.Routers[0].Selector.View().Services[rwhtest.Service].Endpoints
 		return len(endpoints) == 1 && endpoints[0].Address == address
 	}, time.Minute, 5*time.Millisecond)
 	for _, key := range []string{"a", "b", "c", "d"} {
--- a/daemon/router.go
+++ b/daemon/router.go
@@ -28,7 +28,7 @@
 type Router struct {
 	settings RouterSettings
 	Node     *peer.Node
-	Board    *route.Board
+	Selector *route.Board
 	Server   *caller.Server
 	Keeper   *claim.Keeper
 	Poller   *endpoint.Poller
@@ -71,7 +71,7 @@
 		MaxAttempts: s.MaxTries, RetryPercent: s.RetryPercent,
 	}, board, keeper, calls)
 	r := &Router{
-		settings: s, Node: node, Board: board, Server: server, Keeper: keeper,
+		settings: s, Node: node, Selector: board, Server: server, Keeper: keeper,
 		Poller:   endpoint.NewPoller(endpoint.NewClient(s.PollInterval.Std()*4/5), node),
 		follower: tablehttp.NewFollower(table, node, s.HeadInterval.Std()),
 		calls:    calls,
@@ -91,7 +91,7 @@
 	gauge("claim.owed", func() int64 { return int64(r.Keeper.PendingOutcomes()) })
 	gauge("retries.sent", r.Server.Budget().Spent)
 	gauge("retries.denied", r.Server.Budget().Denied)
-	gauge("manifest.generation", func() int64 { return int64(r.Board.View().Accepted.Generation) })
+	gauge("manifest.generation", func() int64 { return int64(r.Selector.View().Accepted.Generation) })
 }
 
 // Run serves until ctx ends, then drains: it takes no new work, finishes what
@@ -108,7 +108,7 @@
 	g.Every("platform.head", r.settings.HeadInterval.Std()/4, r.follower.Tick)
 	g.Every("endpoint.poll", r.settings.PollInterval.Std(), r.Poller.Tick)
 	g.Every("route.refresh", refreshInterval, func(_ context.Context, now time.Time) {
-		r.Board.Refresh(now, r.Node.Health, r.Node.Live(peer.Router))
+		r.Selector.Refresh(now, r.Node.Health, r.Node.Live(peer.Router))
 	})
 	g.Go("route.rebuild", r.rebuildLoop)
 	g.Every("route.grants", grantInterval, r.askGrants)
@@ -134,7 +134,7 @@
 // askGrants asks the zone's holder for the cold groups that fall to this
 // router. A grant counts from now, before the asking.
 func (r *Router) askGrants(ctx context.Context, now time.Time) {
-	groups := r.Board.WantsGrant(endpoint.RouterIDs(r.Node))
+	groups := r.Selector.WantsGrant(endpoint.RouterIDs(r.Node))
 	if len(groups) == 0 {
 		return
 	}
@@ -143,8 +143,8 @@
 		klog.V(1).InfoS("no_grant", "cause", err.Error())
 		return
 	}
-	r.Board.Granted(granted, now.Add(ramp.GrantTTL))
-	r.Board.Refresh(time.Now(), r.Node.Health, r.Node.Live(peer.Router))
+	r.Selector.Granted(granted, now.Add(ramp.GrantTTL))
+	r.Selector.Refresh(time.Now(), r.Node.Health, r.Node.Live(peer.Router))
 }
 
 func (r *Router) rebuildLoop(ctx context.Context) error {
@@ -153,8 +153,8 @@
 		case <-ctx.Done():
 			return nil
 		case <-r.Node.Store.Changed():
-			r.Board.Rebuild(r.Node.Store)
-			r.Board.Refresh(time.Now(), r.Node.Health, r.Node.Live(peer.Router))
+			r.Selector.Rebuild(r.Node.Store)
+			r.Selector.Refresh(time.Now(), r.Node.Health, r.Node.Live(peer.Router))
 		}
 	}
 }
--- a/rwhtest/deployment.go
+++ b/rwhtest/deployment.go
@@ -150,7 +150,7 @@
 }
 
 func (d *Deployment) serving(r *daemon.Router, version string) bool {
-	view := r.Board.View()
+	view := r.Selector.View()
 	model, ok := view.Models[Model]
 	if !ok || model.Model.Version != version || len(view.Services[Service].Endpoints) == 0 {
 		return false
