--- a/cmd/rwhctl/main.go
+++ b/cmd/rwhctl/main.go
@@ -47,7 +47,7 @@
 func run(args []string, out, errOut io.Writer) int {
 	opts := &options{Version: func() {
 		_, _ = fmt.Fprintln(out, "rwhctl", daemon.Version)
-		os.Exit(daemon.ExitDone)
+		os.Exit(daemon.ExitOK)
 	}}
 	a := &app{options: opts, out: out, err: errOut}
 	parser := flags.NewNamedParser("rwhctl", flags.HelpFlag|flags.PassDoubleDash)
@@ -64,10 +64,10 @@
 	var flagErr *flags.Error
 	switch {
 	case err == nil:
-		return daemon.ExitDone
+		return daemon.ExitOK
 	case errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp:
 		_, _ = fmt.Fprintln(out, flagErr.Message)
-		return daemon.ExitDone
+		return daemon.ExitOK
 	case errors.As(err, &flagErr):
 		_, _ = fmt.Fprintf(errOut, "rwhctl: %s\nRun 'rwhctl --help' for help.\n", flagErr.Message)
 		return daemon.ExitUsage
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -52,10 +52,10 @@
 	var flagErr *flags.Error
 	switch {
 	case err == nil:
-		return daemon.ExitDone
+		return daemon.ExitOK
 	case errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp:
 		_, _ = fmt.Fprintln(os.Stdout, flagErr.Message)
-		return daemon.ExitDone
+		return daemon.ExitOK
 	case errors.As(err, &flagErr):
 		_, _ = fmt.Fprintf(os.Stderr, "standin: %s\n", flagErr.Message)
 		return daemon.ExitUsage
--- a/daemon/main.go
+++ b/daemon/main.go
@@ -20,7 +20,7 @@
 
 // Exit codes of every program.
 const (
-	ExitDone    = 0
+	ExitOK      = 0
 	ExitRefused = 1
 	ExitUsage   = 2
 )
@@ -68,7 +68,7 @@
 	var flagErr *flags.Error
 	if errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp {
 		_, _ = fmt.Fprintln(out, flagErr.Message)
-		return ExitDone
+		return ExitOK
 	}
 	if err == nil && len(rest) > 0 {
 		err = fmt.Errorf("%q is not understood", rest[0])
@@ -82,7 +82,7 @@
 	}
 	if options.Version {
 		_, _ = fmt.Fprintln(out, name, Version)
-		return ExitDone
+		return ExitOK
 	}
 	SetupLogs(options.Verbose)
 	tuneMemory()
@@ -110,7 +110,7 @@
 	}
 	if options.Check {
 		_, _ = fmt.Fprintln(out, name+": the settings are valid")
-		return ExitDone
+		return ExitOK
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -119,7 +119,7 @@
 		return ExitRefused
 	}
 	klog.Flush()
-	return ExitDone
+	return ExitOK
 }
 
 // WriteFaults prints everything wrong with a file, a line each.
--- a/daemon/settings_test.go
+++ b/daemon/settings_test.go
@@ -75,13 +75,13 @@
 		want int
 		text string
 	}{
-		{"help", []string{"--help"}, daemon.ExitDone, "--settings"},
-		{"version", []string{"--version"}, daemon.ExitDone, daemon.Version},
+		{"help", []string{"--help"}, daemon.ExitOK, "--settings"},
+		{"version", []string{"--version"}, daemon.ExitOK, daemon.Version},
 		{"nothing", nil, daemon.ExitUsage, "--settings is missing"},
 		{"unknown flag", []string{"--token", "x"}, daemon.ExitUsage, "unknown flag"},
 		{"an argument", []string{"--settings", "x", "y"}, daemon.ExitUsage, `"y" is not understood`},
 		{"bad settings", []string{"--settings", "bad"}, daemon.ExitUsage, "id: want a name"},
-		{"check", []string{"--settings", "good", "--check"}, daemon.ExitDone, "valid"},
+		{"check", []string{"--settings", "good", "--check"}, daemon.ExitOK, "valid"},
 		{"fails", []string{"--settings", "good"}, daemon.ExitRefused, "port is taken"},
 	}
 	for _, tt := range tests {
--- a/measure/main.go
+++ b/measure/main.go
@@ -65,7 +65,7 @@
 		var flagErr *flags.Error
 		if errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp {
 			_, _ = fmt.Fprintln(os.Stdout, flagErr.Message)
-			return daemon.ExitDone
+			return daemon.ExitOK
 		}
 		return fail(err, daemon.ExitUsage)
 	}
@@ -88,7 +88,7 @@
 			_, _ = fmt.Fprintln(os.Stdout, "  "+s.String())
 		}
 	}
-	return daemon.ExitDone
+	return daemon.ExitOK
 }
 
 func fail(err error, code int) int {
