--- a/cmd/rwhctl/main.go
+++ b/cmd/rwhctl/main.go
@@ -72,10 +72,10 @@
 		_, _ = fmt.Fprintf(errOut, "rwhctl: %s\nRun 'rwhctl --help' for help.\n", flagErr.Message)
 		return daemon.ExitUsage
 	case errors.Is(err, errRefused):
-		return daemon.ExitRefused
+		return daemon.ExitFailure
 	default:
 		_, _ = fmt.Fprintln(errOut, "rwhctl:", err)
-		return daemon.ExitRefused
+		return daemon.ExitFailure
 	}
 }
 
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -61,7 +61,7 @@
 		return daemon.ExitUsage
 	default:
 		_, _ = fmt.Fprintln(os.Stderr, "standin:", err)
-		return daemon.ExitRefused
+		return daemon.ExitFailure
 	}
 }
 
--- a/daemon/main.go
+++ b/daemon/main.go
@@ -21,7 +21,7 @@
 // Exit codes of every program.
 const (
 	ExitOK      = 0
-	ExitRefused = 1
+	ExitFailure = 1
 	ExitUsage   = 2
 )
 
@@ -116,7 +116,7 @@
 	defer stop()
 	if err := serve(ctx); err != nil {
 		_, _ = fmt.Fprintf(errOut, "%s: %v\n", name, err)
-		return ExitRefused
+		return ExitFailure
 	}
 	klog.Flush()
 	return ExitOK
--- a/daemon/settings_test.go
+++ b/daemon/settings_test.go
@@ -82,7 +82,7 @@
 		{"an argument", []string{"--settings", "x", "y"}, daemon.ExitUsage, `"y" is not understood`},
 		{"bad settings", []string{"--settings", "bad"}, daemon.ExitUsage, "id: want a name"},
 		{"check", []string{"--settings", "good", "--check"}, daemon.ExitOK, "valid"},
-		{"fails", []string{"--settings", "good"}, daemon.ExitRefused, "port is taken"},
+		{"fails", []string{"--settings", "good"}, daemon.ExitFailure, "port is taken"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/measure/main.go
+++ b/measure/main.go
@@ -78,10 +78,10 @@
 		started := time.Now()
 		series, err := m.run(o)
 		if err != nil {
-			return fail(fmt.Errorf("%s: %w", m.name, err), daemon.ExitRefused)
+			return fail(fmt.Errorf("%s: %w", m.name, err), daemon.ExitFailure)
 		}
 		if err := write(o.Out, m.name, series); err != nil {
-			return fail(err, daemon.ExitRefused)
+			return fail(err, daemon.ExitFailure)
 		}
 		_, _ = fmt.Fprintf(os.Stdout, "%s (%s)\n", m.name, time.Since(started).Round(time.Second))
 		for _, s := range series {
