--- a/duration.go
+++ b/duration.go
@@ -31,7 +31,7 @@
 	}
 	v, err := time.ParseDuration(text)
 	if err != nil {
-		return fmt.Errorf("want a duration such as \"1.5s\"")
+		return fmt.Errorf("want a duration, such as \"1.5s\"")
 	}
 	*d = Duration(v)
 	return nil
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -28,7 +28,7 @@
 		return []Problem{{Path: "$", Message: "this is not valid JSON: " + err.Error()}}
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return []Problem{{Path: "$", Message: "unexpected text follows the JSON document"}}
+		return []Problem{{Path: "$", Message: "text follows the JSON document"}}
 	}
 	problems := check("", doc, reflect.TypeOf(dst).Elem())
 	if len(problems) > 0 {
