--- a/caller/bench_test.go
+++ b/caller/bench_test.go
@@ -22,9 +22,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkAnswer streams answers directly from the engine stand-in and
-// through a router in the same process. The difference of the two is the
-// router's cost; with 1 and 257 chunks it gives the cost of a chunk.
+// BenchmarkAnswer streams responses directly from the engine stand-in and through a
+// router in the same process. The difference is the cost of the router; comparing 1
+// and 257 chunks gives the cost of one chunk.
 func BenchmarkAnswer(b *testing.B) {
 	d := rwhtest.Start(b, rwhtest.Options{Engine: engine.Config{}})
 	d.Submit("v1")
@@ -38,13 +38,13 @@
 	for _, tokens := range []int{1, 257} {
 		for _, way := range []struct{ name, address string }{{"direct", leader}, {"router", d.Caller(0)}} {
 			b.Run(fmt.Sprintf("chunks=%d/%s", tokens, way.name), func(b *testing.B) {
-				answer(b, d.Client, way.address, tokens)
+				benchmarkRequests(b, d.Client, way.address, tokens)
 			})
 		}
 	}
 }
 
-func answer(b *testing.B, client *http.Client, address string, tokens int) {
+func benchmarkRequests(b *testing.B, client *http.Client, address string, tokens int) {
 	c := load.Config{Model: rwhtest.Model, Tokens: tokens}
 	body, _ := load.Body(c, 1)
 	b.ReportAllocs()
--- a/caller/budget.go
+++ b/caller/budget.go
@@ -2,12 +2,12 @@
 
 import "sync/atomic"
 
-// Budget bounds retries to a share of the requests.
+// Budget limits retries to a percentage of the requests.
 //
-// Guard: when a zone is lost, every request fails at first, and a router that
-// retries each of them doubles the load on what is left; the remaining groups
-// then fail too. Each request earns a fraction of a retry, a retry spends a
-// whole one, so the load that endpoints see stays within the share.
+// When a zone fails, every request to it fails at first. If a router retried each
+// of them, it would double the load on the remaining groups, which would then fail
+// too. Each request therefore adds a fraction of a retry to the budget, and each
+// retry takes a whole one.
 type Budget struct {
 	percent int64
 	tokens  atomic.Int64 // hundredths of a retry
@@ -16,42 +16,42 @@
 }
 
 const (
-	retryCost   = 100
-	maxRetries  = 50 // that can be saved up
-	firstTokens = 10
+	retryCost       = 100
+	maxSavedRetries = 50 // retries that can accumulate
+	initialRetries  = 10
 )
 
-// NewBudget returns a budget of percent retries for 100 requests.
+// NewBudget returns a budget of percent retries for each 100 requests.
 func NewBudget(percent int) *Budget {
 	b := &Budget{percent: int64(percent)}
-	b.tokens.Store(firstTokens * retryCost)
+	b.tokens.Store(initialRetries * retryCost)
 	return b
 }
 
 // RecordRequest counts a request.
 func (b *Budget) RecordRequest() {
-	if b.tokens.Add(b.percent) > maxRetries*retryCost {
-		b.tokens.Store(maxRetries * retryCost)
+	if b.tokens.Add(b.percent) > maxSavedRetries*retryCost {
+		b.tokens.Store(maxSavedRetries * retryCost)
 	}
 }
 
-// Spend reports whether a retry may be sent.
+// Spend takes one retry from the budget, and reports whether it may be sent.
 func (b *Budget) Spend() bool {
 	for {
-		held := b.tokens.Load()
-		if held < retryCost {
+		available := b.tokens.Load()
+		if available < retryCost {
 			b.denied.Add(1)
 			return false
 		}
-		if b.tokens.CompareAndSwap(held, held-retryCost) {
+		if b.tokens.CompareAndSwap(available, available-retryCost) {
 			b.spent.Add(1)
 			return true
 		}
 	}
 }
 
-// Spent returns how many retries were sent, and Denied how many were not.
+// Spent returns how many retries were allowed.
 func (b *Budget) Spent() int64 { return b.spent.Load() }
 
-// Denied returns how many retries the budget stopped.
+// Denied returns how many retries were not allowed.
 func (b *Budget) Denied() int64 { return b.denied.Load() }
--- a/caller/budget_test.go
+++ b/caller/budget_test.go
@@ -8,9 +8,9 @@
 	"redwinghall/caller"
 )
 
-// A zone is lost, every request fails at first, and the retries take down what
-// is left. Judge: over many requests that all want retries, endpoints see less
-// than 1.1 times the requests and a small start amount.
+// When a zone fails, retries must not overload the remaining groups. Even if every
+// request needs retries, endpoints receive at most 1.1 times the number of requests
+// plus the initial retries.
 func TestRetryBudgetBoundsTheOfferedLoad(t *testing.T) {
 	budget := caller.NewBudget(10)
 	const requests = 10000
@@ -29,7 +29,7 @@
 	require.EqualValues(t, 3*requests-retries, budget.Denied())
 }
 
-func TestRetryBudgetSavesOnlySoMuch(t *testing.T) {
+func TestRetryBudgetIsCapped(t *testing.T) {
 	budget := caller.NewBudget(10)
 	for range 100000 {
 		budget.RecordRequest()
--- a/caller/doc.go
+++ b/caller/doc.go
@@ -1,4 +1,4 @@
-// Package caller speaks to callers: chat completions in the usual OpenAI JSON
-// and server-sent events, and calls to plain services. It admits a request,
-// routes it, and answers for its outcome.
+// Package caller serves the callers' API: chat completions in the format of OpenAI's
+// API, with server-sent events, and calls to plain services. It admits and routes
+// requests and reports their outcome.
 package caller
--- a/caller/error.go
+++ b/caller/error.go
@@ -7,25 +7,25 @@
 	"redwinghall"
 )
 
-// Error is a failed request; its kind is the code that the caller reads.
+// Error is a failed request; its kind is the code in the response to the caller.
 type Error = redwinghall.OpError[redwinghall.Code]
 
-// Refusal is the body of every error that a caller receives.
+// Refusal is the body of every error response to a caller.
 type Refusal struct {
 	Error RefusalBody `json:"error"`
 }
 
-// RefusalBody says what happened and what to do next.
+// RefusalBody describes the error and whether the request may be retried.
 type RefusalBody struct {
 	Code       redwinghall.Code     `json:"code"`
 	Message    string               `json:"message"`
 	Outcome    redwinghall.Outcome  `json:"outcome"`
-	RetryAfter redwinghall.Duration `json:"retry_after"` // "0s": do not retry
+	RetryAfter redwinghall.Duration `json:"retry_after"` // "0s" means that the request must not be retried
 	RequestID  string               `json:"request_id"`
 	Detail     string               `json:"detail,omitempty"`
 }
 
-// newRefusal builds the body from the table of codes.
+// newRefusal returns the body and the HTTP status for a code.
 func newRefusal(code redwinghall.Code, requestID, detail string) (RefusalBody, int) {
 	info, ok := code.Info()
 	if !ok {
@@ -37,7 +37,7 @@
 	}, info.HTTPStatus
 }
 
-// write sends the refusal as the whole answer.
+// write sends the refusal as the response.
 func (b RefusalBody) write(w http.ResponseWriter, status int) {
 	data, err := json.Marshal(Refusal{Error: b})
 	if err != nil {
@@ -49,5 +49,5 @@
 		w.Header().Set("Retry-After", b.RetryAfter.Seconds())
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(data) // the caller may be gone
+	_, _ = w.Write(data) // the caller may have disconnected
 }
--- a/caller/fuzz_test.go
+++ b/caller/fuzz_test.go
@@ -20,8 +20,9 @@
 	"redwinghall/standin/table"
 )
 
-// FuzzChatBody sends any bytes as a caller's body. Whatever they are, the
-// answer is a refusal with a code of the table.
+// FuzzChatBody sends arbitrary bytes as the body of a chat request. As there are no
+// groups, the response must always be a refusal with a known code and the outcome
+// not_run.
 func FuzzChatBody(f *testing.F) {
 	f.Add(`{"model":"chain-advice","messages":[{"role":"user","content":"x"}]}`)
 	f.Add(`{"model":"chain-advice","stream":true,"messages":[null]}`)
--- a/caller/metrics.go
+++ b/caller/metrics.go
@@ -10,14 +10,15 @@
 	"redwinghall"
 )
 
-// Bounds on how many series exist: go-metrics keeps each for good.
+// Limits of the metrics. The number of series is limited because go-metrics never
+// removes one.
 const (
 	maxSeries     = 200
 	sampleSize    = 1028
 	otherAccounts = "other"
 )
 
-// series holds the histograms of one client account and class, in
+// series holds the histograms of one client account and class. Their values are in
 // microseconds.
 type series struct {
 	firstToken metrics.Histogram
@@ -26,7 +27,7 @@
 	total      metrics.Histogram
 }
 
-// Metrics are the router's counters and histograms.
+// Metrics holds the router's counters and histograms.
 type Metrics struct {
 	registry metrics.Registry
 	mu       sync.RWMutex
@@ -38,7 +39,8 @@
 	return &Metrics{registry: metrics.NewRegistry(), byKey: map[string]*series{}}
 }
 
-// seriesOf returns the series of an account; accounts beyond the bound share one.
+// seriesOf returns the series of an account. Once there are maxSeries, all further
+// accounts share one.
 func (m *Metrics) seriesOf(a redwinghall.ClientAccount) *series {
 	key := a.ID + "." + string(a.Class)
 	m.mu.RLock()
@@ -74,13 +76,13 @@
 	return metrics.NewRegisteredHistogram("account."+key+"."+name, m.registry, metrics.NewUniformSample(sampleSize))
 }
 
-// count adds one outcome by its code; the codes are a fixed table, so the
-// number of counters is bounded.
+// count increments the counter of an outcome. Outcomes are codes of a fixed table,
+// so the number of counters is limited.
 func (m *Metrics) count(code string) {
 	metrics.GetOrRegisterCounter("outcomes."+code, m.registry).Inc(1)
 }
 
-// Gauge adds a value that is read whenever the metrics are written.
+// Gauge adds a gauge whose value is read each time the metrics are written.
 func (m *Metrics) Gauge(name string, read func() int64) {
 	metrics.NewRegisteredFunctionalGauge(name, m.registry, read)
 }
--- a/caller/once.go
+++ b/caller/once.go
@@ -16,23 +16,23 @@
 	"redwinghall/route"
 )
 
-// onceResult is how an attempt ended.
+// onceResult is the result of an attempt.
 type onceResult struct {
-	answer   redwinghall.Response
+	response redwinghall.Response
 	replayed bool
 	err      error
 }
 
-// callOnce calls a service that may not be called twice. The attempt runs
-// apart from the caller's connection: once the call is sent, its outcome is
-// recorded also when the caller has gone or no longer waits.
+// callOnce executes a call that must run at most once. The attempt runs independently
+// of the caller's connection: once the call is sent, its outcome is recorded even if
+// the caller disconnects or its deadline passes.
 func (s *Server) callOnce(ctx context.Context, w http.ResponseWriter, r *request, view *route.ServiceView) error {
 	latch := &claim.Latch{}
 	done := make(chan onceResult, 1)
 	timeout := view.Service.Timeout.Std() + s.config.SettleTimeout
-	s.sent.Add(1)
+	s.onceCalls.Add(1)
 	s.calls.Go("caller.once", func(context.Context) error {
-		defer s.sent.Add(-1)
+		defer s.onceCalls.Add(-1)
 		callCtx, cancel := callContext(s.calls, timeout)
 		defer cancel()
 		done <- s.attempt(ctx, callCtx, latch, r, view)
@@ -47,7 +47,7 @@
 		return redwinghall.NewOpError("Server.callOnce", redwinghall.CodeDeadlinePassed, ctx.Err())
 	}
 	select {
-	case result := <-done: // it ended in the same moment
+	case result := <-done: // the attempt ended at the same time
 		return writeOnce(w, result)
 	default:
 		return redwinghall.NewOpError("Server.callOnce", redwinghall.CodeOutcomeUnknown, ctx.Err())
@@ -58,12 +58,12 @@
 	if result.err != nil {
 		return result.err
 	}
-	writeAnswer(w, result.answer, result.replayed)
+	writeResponse(w, result.response, result.replayed)
 	return nil
 }
 
-// attempt claims the key, sends the call and records the outcome. waitCtx is
-// the caller's; callCtx bounds the call itself.
+// attempt claims the key, sends the call and records the outcome. waitCtx is the
+// context of the caller's request; callCtx limits the call itself.
 func (s *Server) attempt(waitCtx, callCtx context.Context, latch *claim.Latch, r *request, view *route.ServiceView) onceResult {
 	key := redwinghall.ClaimKey(r.account.ID, view.Service.ID, r.http.Header.Get(HeaderIdempotency))
 	hash := claim.BodyHash(r.http.Method, r.http.PathValue("path")+"?"+r.http.URL.RawQuery, r.body)
@@ -79,28 +79,28 @@
 		s.keeper.Release(held)
 		return onceResult{err: redwinghall.NewOpError("Server.attempt", redwinghall.CodeNoCapacity, err)}
 	}
-	// The caller's time is looked at last, so that a router that was frozen
-	// on the way here does not send a call that nobody waits for any more.
+	// The caller's deadline is checked last, so that a router that was suspended
+	// until here does not send a call for which the caller no longer waits.
 	if waitCtx.Err() != nil || !latch.Dispatch() {
 		_ = conn.Close()
 		s.keeper.Release(held)
 		return onceResult{err: redwinghall.NewOpError("Server.attempt", redwinghall.CodeDeadlinePassed, waitCtx.Err())}
 	}
-	answer, err := sendOnce(callCtx, conn, r)
+	response, err := sendOnce(callCtx, conn, r)
 	if err != nil {
 		s.keeper.RecordUnknown(held)
 		return onceResult{err: redwinghall.NewOpError("Server.attempt", redwinghall.CodeOutcomeUnknown, err)}
 	}
-	s.keeper.RecordRan(held, recordable(answer))
-	return onceResult{answer: answer}
+	s.keeper.RecordRan(held, recordable(response))
+	return onceResult{response: response}
 }
 
-// resultOf is what a claim that stands in the way means for the caller.
+// resultOf returns the caller's result if an existing claim prevents the call.
 func resultOf(a claim.Attempt) onceResult {
 	code := redwinghall.CodeOutcomeUnknown
 	switch a.Verdict {
 	case claim.Replay:
-		return onceResult{answer: *a.Claim.Response, replayed: true}
+		return onceResult{response: *a.Claim.Response, replayed: true}
 	case claim.InProgress:
 		code = redwinghall.CodeInProgress
 	case claim.KeyReused:
@@ -109,8 +109,8 @@
 	return onceResult{err: redwinghall.NewOpError("resultOf", code, nil)}
 }
 
-// dialAny connects to the first endpoint that accepts. Nothing of the call is
-// sent yet, so another endpoint may be tried.
+// dialAny tries the endpoints in random order and returns the first connection that
+// opens. Nothing of the call has been sent by then, so trying several is safe.
 func dialAny(ctx context.Context, endpoints redwinghall.ServiceEndpoints) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	var last error
@@ -124,13 +124,13 @@
 	return nil, fmt.Errorf("no service endpoint accepts a connection: %w", last)
 }
 
-// sendOnce sends the call on a fresh connection and reads the whole answer.
+// sendOnce sends the call on a new connection and reads the whole response.
 //
-// Guard: Go's transport sends a request again by itself when a reused
-// connection breaks and the request carries an Idempotency-Key or has no
-// body; the service would book twice and nothing here would show it. The
-// transport made here has one connection that was never used before, keeps
-// none, cannot dial, and follows no redirect; and the body cannot be rewound.
+// Go's transport retries a request by itself when a reused connection breaks and the
+// request has an Idempotency-Key or no body. The service would then execute the call
+// twice without the router noticing. The transport used here has a single unused
+// connection, does not keep it, cannot dial another one and follows no redirects, and
+// the request body cannot be rewound.
 func sendOnce(ctx context.Context, conn net.Conn, r *request) (redwinghall.Response, error) {
 	unused := conn
 	transport := &http.Transport{
@@ -138,7 +138,7 @@
 		DisableCompression: true,
 		DialContext: func(context.Context, string, string) (net.Conn, error) {
 			if unused == nil {
-				return nil, errors.New("the call was sent already")
+				return nil, errors.New("the call was already sent")
 			}
 			c := unused
 			unused = nil
@@ -152,20 +152,20 @@
 	}
 	out.Body = io.NopCloser(bytes.NewReader(r.body))
 	out.GetBody = nil
-	answer, err := transport.RoundTrip(out)
+	response, err := transport.RoundTrip(out)
 	if err != nil {
 		return redwinghall.Response{}, err
 	}
-	return readAnswer(answer)
+	return readResponse(response)
 }
 
-// recordable returns the answer as the table keeps it: a large body is left
-// out, and a replay says so.
-func recordable(a redwinghall.Response) redwinghall.Response {
-	if len(a.Body) <= maxRecordedAnswer {
-		return a
+// recordable returns the response to record in the table. A body that is too large is
+// replaced by a note, which a replay returns.
+func recordable(response redwinghall.Response) redwinghall.Response {
+	if len(response.Body) <= maxRecordedResponse {
+		return response
 	}
-	a.ContentType = "application/json"
-	a.Body = []byte(`{"detail":"the call ran; its answer was too large to keep"}`)
-	return a
+	response.ContentType = "application/json"
+	response.Body = []byte(`{"detail":"the call ran; its answer was too large to keep"}`)
+	return response
 }
--- a/caller/once_test.go
+++ b/caller/once_test.go
@@ -33,9 +33,8 @@
 	return d
 }
 
-// A haulier taps "pay" and the app sends the deposit many times at once,
-// through routers of two zones. Cause of a double charge: any of them acted
-// on its own look at the key.
+// A caller sends the same deposit many times at once through routers of two zones.
+// If each router checked the key on its own, the deposit would run more than once.
 func TestManyRetriesAtOnceRunOnce(t *testing.T) {
 	d := twoZones(t)
 	const retries = 40
@@ -64,10 +63,9 @@
 	require.Equal(t, 1, d.Runs("deposit-1"))
 }
 
-// A customer is credited twice after the service's connection broke.
-// Order: the service runs the credit; the connection is cut before the answer
-// arrives; the caller tries again through both zones.
-// Cause: an answer that is lost was taken for a call that did not run.
+// The service executes a call, its connection is cut before the response arrives, and
+// the caller retries through both zones. A lost response must not be taken for a call
+// that was not executed, or the call runs twice.
 func TestCutAfterRunIsUnknownAndNeverSentAgain(t *testing.T) {
 	d := twoZones(t)
 	for _, s := range d.Services {
@@ -85,11 +83,10 @@
 	require.Equal(t, 1, d.Runs("credit-1"))
 }
 
-// A service that closes reused connections gets every second booking twice.
-// Order: a first call leaves its connection open; the service reads the next
-// call on it, runs it, and closes without an answer.
-// Cause: Go's transport repeats a request with an Idempotency-Key on its own
-// when a reused connection breaks.
+// A service keeps the connection of a first call open, reads the next call on it,
+// executes it, and closes the connection without a response. Go's transport retries a
+// request with an Idempotency-Key by itself when a reused connection breaks, so such a
+// call would run twice.
 func TestTransportDoesNotRepeatOnReusedConnection(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{})
 	address, runs := closingService(t)
@@ -116,8 +113,8 @@
 	require.Equal(t, map[string]int{"a": 1, "b": 1, "c": 1, "d": 1}, counted)
 }
 
-// closingService answers the first call of each connection and closes after
-// reading the second, which counts as run.
+// closingService starts a service that responds to the first call of each connection
+// and closes it after reading the second, which counts as executed.
 func closingService(t *testing.T) (string, chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -160,9 +157,9 @@
 	}
 }
 
-// A driver's phone loses its signal while the deposit is on its way.
-// Order: the call is sent; the caller closes; the service answers; the driver
-// asks again. Cause: the router dropped the call together with its caller.
+// The caller disconnects while its call is in progress, and later retries with the
+// same key. The outcome would be lost if the router canceled the call when the caller
+// disconnects.
 func TestOutcomeIsKeptWhenCallerHasGone(t *testing.T) {
 	d := twoZones(t)
 	began := make(chan string, 10)
@@ -176,7 +173,7 @@
 		_, err := d.Call(ctx, http.MethodPost, d.Caller(0), "/v1/services/"+rwhtest.Service+"/deposits",
 			`{"amount":50}`, map[string]string{caller.HeaderIdempotency: "gone-1"})
 		if err == nil {
-			t.Error("the caller was to be gone before the answer")
+			t.Error("the caller received a response although it should have disconnected before")
 		}
 		return nil
 	})
@@ -184,7 +181,7 @@
 	cancel()
 	require.NoError(t, g.Wait())
 	var r rwhtest.Reply
-	d.Eventually("the key is settled", func() bool {
+	d.Eventually("the call has an outcome", func() bool {
 		var err error
 		r, err = d.Book(1, "gone-1")
 		return err == nil && (r.Status == http.StatusOK || codeOf(t, r) != redwinghall.CodeInProgress)
@@ -194,9 +191,9 @@
 	require.Equal(t, 1, d.Runs("gone-1"))
 }
 
-// A caller whose deadline passed is told "not run", pays again, and pays twice.
-// Order: deadlines end at every moment around the sending of the call.
-// Judge: the service's own count. Zero for each not_run, never above one.
+// A caller that gets the outcome not_run may send a call again, so the first one must
+// not have been executed. Deadlines pass at many different times around the sending of
+// the call. The service's own count must be zero for each not_run, and never above one.
 func TestDeadlinesAroundDispatchKeepNotRunTrue(t *testing.T) {
 	d := twoZones(t)
 	d.Table.SetFaults(table.Faults{Latency: redwinghall.Duration(2 * time.Millisecond)})
@@ -238,13 +235,13 @@
 		runs := d.Runs(r.key)
 		require.LessOrEqual(t, runs, 1, r.key)
 		if r.outcome == redwinghall.NotRun {
-			require.Zero(t, runs, "%s was told not_run", r.key)
+			require.Zero(t, runs, "%s had the outcome not_run", r.key)
 		}
 	}
 }
 
-// Before dawn the platform's table is down; every deposit must be refused at
-// once and truly not run, and work again afterwards with the same key.
+// While the platform's table is unavailable, calls that must run at most once are
+// refused at once and not executed. Afterwards the same key works.
 func TestTableOutageRefusesNotRun(t *testing.T) {
 	d := twoZones(t)
 	d.Table.SetFaults(table.Faults{Down: true})
@@ -255,7 +252,7 @@
 	require.Zero(t, d.Runs("storm-1"))
 
 	answer := d.Load(4, 2, 8, 0, 1)
-	require.Equal(t, 4, answer.Whole, "advice goes on without the table")
+	require.Equal(t, 4, answer.Whole, "chat completions work without the table")
 
 	d.Table.SetFaults(table.Faults{})
 	d.Eventually("the deposit runs", func() bool {
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -19,29 +19,30 @@
 	"redwinghall/route"
 )
 
-// lingerTime is how long an endpoint may take to end its HTTP answer after
-// the end mark. Only a connection that was read to its end can be used again;
-// without it each request would open a new one.
-const lingerTime = 50 * time.Millisecond
+// streamEndTimeout is how long an endpoint may take to end its HTTP response after the
+// end mark. A connection can be reused only if the response was read to its end;
+// otherwise each request would open a new connection.
+const streamEndTimeout = 50 * time.Millisecond
 
-// backoffStep is the first pause before a try that follows two that brought
-// nothing: the first retry goes to another group at once, later ones give a
-// short disturbance time to pass.
-const backoffStep = 25 * time.Millisecond
+// minBackoff is the backoff after two attempts in a row without a chunk. The first
+// retry goes to another group at once; the delay of later ones lets a short
+// disturbance pass.
+const minBackoff = 25 * time.Millisecond
 
-// backoff doubles with each fruitless try; half of it is random, so that
-// requests that failed together do not come back together.
-func backoff(fruitless int) time.Duration {
-	full := backoffStep << (fruitless - 2)
+// backoff returns the delay after a number of attempts in a row without a chunk. It
+// doubles with each attempt. Half of it is random, so that requests that failed
+// together are not retried together.
+func backoff(emptyAttempts int) time.Duration {
+	full := minBackoff << (emptyAttempts - 2)
 	return full/2 + rand.N(full/2)
 }
 
-// avoidAfterFailure keeps a group that failed a request out of the first
-// choice for a while, so that retries do not meet the same straggler again.
-const avoidAfterFailure = 2 * time.Second
+// avoidTime is how long a group that failed a request is used only if there is no
+// other, so that retries do not go to the same slow or broken group again.
+const avoidTime = 2 * time.Second
 
-// relay brings one answer from the endpoints to the caller, over as many
-// tries as it takes, so that the caller sees one answer.
+// relay streams one response from the endpoints to the caller. It may take several
+// attempts at different endpoints; the caller receives a single response.
 type relay struct {
 	server   *Server
 	request  *request
@@ -50,79 +51,80 @@
 	sink     sink
 	sequence *sequence
 
-	failed *route.Slot
-	tried  map[string]bool // gateways that failed this request
+	failedBackend *route.Slot
+	failedRouters map[string]bool // addresses of routers that failed this request
 }
 
 var (
-	// errSinkGone means that the caller no longer reads.
-	errSinkGone = errors.New("the caller is gone")
-	// errAnswered means that the answer has begun, so that no refusal can
-	// take its place.
-	errAnswered = errors.New("the answer has begun")
+	// errCallerGone means that the caller has disconnected.
+	errCallerGone = errors.New("the caller has disconnected")
+	// errResponseStarted means that the response has started, so that no refusal
+	// can be sent instead.
+	errResponseStarted = errors.New("the response has already started")
 )
 
-// target is where one try goes.
+// target is the destination of one attempt.
 type target struct {
 	address string
-	slot    *route.Slot // nil: another router
+	backend *route.Slot // nil if the target is another router
 }
 
-// run tries until the answer is complete, the deadline passes, the budget is
-// spent, or several tries in a row bring nothing. A try that brought chunks
-// does not count: an answer that advances is worth going on with.
+// run makes attempts until the response is complete, the deadline passes, the retry
+// budget is exhausted, or MaxAttempts attempts in a row bring no chunk. An attempt
+// that brought chunks resets the count, since the response is making progress.
 func (l *relay) run(ctx context.Context, prefix uint64) error {
 	var last error
-	fruitless := 0 // tries in a row that brought no chunk
-	for try := 0; fruitless < l.server.config.MaxAttempts; try++ {
-		if try > 0 && !l.server.budget.Spend() {
+	emptyAttempts := 0 // attempts in a row without a chunk
+	for attempt := 0; emptyAttempts < l.server.config.MaxAttempts; attempt++ {
+		if attempt > 0 && !l.server.budget.Spend() {
 			break
 		}
 		from := l.sequence.next
-		where, err := l.choose(ctx, prefix, try)
+		where, err := l.choose(ctx, prefix, attempt)
 		if err != nil {
 			if last == nil {
 				last = err
 			}
 			break
 		}
-		last = l.try(ctx, where)
+		last = l.attempt(ctx, where)
 		if last == nil {
 			return nil
 		}
-		if errors.Is(last, errSinkGone) || ctx.Err() != nil {
+		if errors.Is(last, errCallerGone) || ctx.Err() != nil {
 			break
 		}
 		klog.V(1).InfoS("try_failed", "request_id", l.request.id, "address", where.address,
 			"position", l.sequence.next, "cause", last.Error())
-		l.noteFailure(where)
-		fruitless++
+		l.recordFailure(where)
+		emptyAttempts++
 		if l.sequence.next > from {
-			fruitless = 0
+			emptyAttempts = 0
 		}
-		if fruitless > 1 && !kernel.Sleep(ctx, backoff(fruitless)) {
+		if emptyAttempts > 1 && !kernel.Sleep(ctx, backoff(emptyAttempts)) {
 			break
 		}
 	}
 	return l.giveUp(ctx, last)
 }
 
-func (l *relay) noteFailure(where target) {
-	if where.slot != nil {
-		where.slot.Avoid(time.Now().Add(avoidAfterFailure))
-		l.failed = where.slot
+func (l *relay) recordFailure(where target) {
+	if where.backend != nil {
+		where.backend.Avoid(time.Now().Add(avoidTime))
+		l.failedBackend = where.backend
 		return
 	}
-	if l.tried == nil {
-		l.tried = map[string]bool{}
+	if l.failedRouters == nil {
+		l.failedRouters = map[string]bool{}
 	}
-	l.tried[where.address] = true
+	l.failedRouters[where.address] = true
 }
 
-// giveUp ends an answer that cannot be completed, at once.
+// giveUp ends a response that cannot be completed. If it has started, the caller
+// receives an error event; otherwise giveUp returns the error to refuse with.
 func (l *relay) giveUp(ctx context.Context, cause error) error {
-	if errors.Is(cause, errSinkGone) || l.sink.abort(redwinghall.CodeAnswerIncomplete) {
-		return redwinghall.NewOpError("relay.giveUp", redwinghall.CodeAnswerIncomplete, errAnswered)
+	if errors.Is(cause, errCallerGone) || l.sink.abort(redwinghall.CodeAnswerIncomplete) {
+		return redwinghall.NewOpError("relay.giveUp", redwinghall.CodeAnswerIncomplete, errResponseStarted)
 	}
 	if redwinghall.KindOf[redwinghall.Code](cause) != "" || codeOf(cause) != redwinghall.CodeEndpointFailed {
 		return cause
@@ -133,61 +135,61 @@
 	return redwinghall.NewOpError("relay.giveUp", redwinghall.CodeEndpointFailed, cause)
 }
 
-// choose returns where to try next: a group of this zone; the router that
-// feeds the zone's cold groups when all are cold and none is fed from here; or
-// a router of another zone when this one is out of service or has no usable
-// group.
-func (l *relay) choose(ctx context.Context, prefix uint64, try int) (target, error) {
+// choose returns the target of the next attempt: a group of this zone; if all groups
+// of the zone are cold and this router may not send to any, the router that may; or a
+// router of another zone if this zone is out of service or has no usable group.
+func (l *relay) choose(ctx context.Context, prefix uint64, attempt int) (target, error) {
 	s := l.server
-	out := s.board.View().ZoneOut(s.config.AvailabilityZone)
+	out := s.selector.View().ZoneOut(s.config.AvailabilityZone)
 	if !out && l.request.hops == 0 {
-		if owner := s.board.ColdOwner(l.model.Model.ID, time.Now(), l.tried); owner != "" {
+		if owner := s.selector.ColdOwner(l.model.Model.ID, time.Now(), l.failedRouters); owner != "" {
 			return target{address: owner}, nil
 		}
 	}
 	if !out {
-		slot, err := l.chooseSlot(ctx, prefix, try)
+		backend, err := l.chooseBackend(ctx, prefix, attempt)
 		if err == nil {
-			return target{address: slot.Group().Leader().Address, slot: slot}, nil
+			return target{address: backend.Group().Leader().Address, backend: backend}, nil
 		}
 		if codeOf(err) != redwinghall.CodeNoCapacity {
 			return target{}, err
 		}
 	}
 	if l.request.hops == 0 {
-		if where, ok := s.gateway(l.tried, func(g route.Gateway) bool { return slices.Contains(g.Models, l.model.Model.ID) }); ok {
+		if where, ok := s.chooseGateway(l.failedRouters, func(g route.Gateway) bool { return slices.Contains(g.Models, l.model.Model.ID) }); ok {
 			return where, nil
 		}
 	}
-	if !out && s.board.Whole(l.model.Model.ID, time.Now()) > 0 {
+	if !out && s.selector.Whole(l.model.Model.ID, time.Now()) > 0 {
 		return l.waitForGrant(ctx)
 	}
 	return target{}, redwinghall.NewOpError("relay.choose", redwinghall.CodeNoCapacity, nil)
 }
 
-// waitForGrant waits for a group that is whole but cold, which nobody may feed
-// yet: its owner asks for it within moments.
+// waitForGrant waits for a group that is healthy but cold and to which no router may
+// send yet. Its owner requests a grant shortly.
 func (l *relay) waitForGrant(ctx context.Context) (target, error) {
-	slot, err := l.model.Gate.Enter(ctx, time.Now(), l.request.account)
+	backend, err := l.model.Gate.Enter(ctx, time.Now(), l.request.account)
 	if err != nil {
 		return target{}, err
 	}
-	return target{address: slot.Group().Leader().Address, slot: slot}, nil
+	return target{address: backend.Group().Leader().Address, backend: backend}, nil
 }
 
-func (l *relay) chooseSlot(ctx context.Context, prefix uint64, try int) (*route.Slot, error) {
-	if try > 0 {
-		if slot := l.server.board.PickOther(l.model.Model.ID, time.Now(), l.failed); slot != nil {
-			return slot, nil
+func (l *relay) chooseBackend(ctx context.Context, prefix uint64, attempt int) (*route.Slot, error) {
+	if attempt > 0 {
+		if backend := l.server.selector.PickOther(l.model.Model.ID, time.Now(), l.failedBackend); backend != nil {
+			return backend, nil
 		}
 	}
-	return l.server.enter(ctx, l.request, l.model, prefix)
+	return l.server.acquireBackend(ctx, l.request, l.model, prefix)
 }
 
-// gateway returns a router of another zone that is in service and serves what
-// is wanted. Zones are tried in a random order.
-func (s *Server) gateway(tried map[string]bool, serves func(route.Gateway) bool) (target, bool) {
-	view := s.board.View()
+// chooseGateway returns a router that has not been tried, of another zone that is in
+// service and for which serves returns true. Zones and their routers are considered in
+// random order.
+func (s *Server) chooseGateway(tried map[string]bool, serves func(route.Gateway) bool) (target, bool) {
+	view := s.selector.View()
 	for _, i := range rand.Perm(len(view.Gateways)) {
 		g := view.Gateways[i]
 		if view.ZoneOut(g.AvailabilityZone) || !serves(g) || len(g.Routers) == 0 {
@@ -202,33 +204,33 @@
 	return target{}, false
 }
 
-// try asks one target for the rest of the answer.
-func (l *relay) try(ctx context.Context, where target) error {
-	if where.slot != nil {
+// attempt requests the rest of the response from one target.
+func (l *relay) attempt(ctx context.Context, where target) error {
+	if where.backend != nil {
 		defer func() {
-			where.slot.Release()
+			where.backend.Release()
 			l.model.Gate.Wake(time.Now())
 		}()
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// Guard: a connection that something in between has lost track of stays
-	// silent for good, and so does an endpoint that is frozen. The caller
-	// would wait until its deadline. Each chunk must follow the one before
-	// within the bound, or the try ends, its connection is closed, and another
-	// group goes on from the same position.
+	// A connection of which a device on the path has lost the state stays silent
+	// forever, and so does an endpoint that hangs; the caller would wait until its
+	// deadline. If the next chunk does not arrive within StallTimeout, the attempt
+	// ends, its connection is closed, and another group continues from the same
+	// position.
 	stall := time.AfterFunc(l.server.config.StallTimeout, cancel)
 	defer stall.Stop()
 
-	answer, err := l.send(ctx, where)
+	response, err := l.send(ctx, where)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("endpoint answered with status %d", answer.StatusCode)
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("endpoint responded with HTTP status %d", response.StatusCode)
 	}
-	return l.copy(NewEventReader(answer.Body), stall)
+	return l.copy(NewEventReader(response.Body), stall)
 }
 
 func (l *relay) send(ctx context.Context, where target) (*http.Response, error) {
@@ -242,7 +244,7 @@
 	if l.sequence.next > 0 {
 		out.Header.Set(HeaderLastEvent, EventID(l.request.id, l.sequence.next-1))
 	}
-	if where.slot == nil {
+	if where.backend == nil {
 		s := l.request
 		out.Header.Set("Authorization", s.http.Header.Get("Authorization"))
 		out.Header.Set(HeaderHops, strconv.Itoa(s.hops+1))
@@ -251,15 +253,15 @@
 	return l.server.streams.RoundTrip(out)
 }
 
-// setRemaining hands on how much time the request has left.
+// setRemaining sets the Request-Timeout header to the time left until the deadline.
 func setRemaining(ctx context.Context, out *http.Request) {
 	if deadline, ok := ctx.Deadline(); ok {
 		out.Header.Set(HeaderTimeout, time.Until(deadline).Round(time.Millisecond).String())
 	}
 }
 
-// copy passes the events on until the end mark, which has its place in the
-// order like any chunk.
+// copy passes events on to the sink until the end mark, which has a position in the
+// sequence like any chunk.
 func (l *relay) copy(events *EventReader, stall *time.Timer) error {
 	complete := false
 	deliver := func(position int, data []byte) error {
@@ -272,7 +274,7 @@
 	for !complete {
 		event, err := events.Next()
 		if err != nil {
-			return fmt.Errorf("stream ended before its end mark: %w", endOf(err))
+			return fmt.Errorf("stream ended before its end mark: %w", unexpectedEOF(err))
 		}
 		stall.Reset(l.server.config.StallTimeout)
 		trusted, err := l.sequence.offer(event, deliver)
@@ -283,12 +285,12 @@
 			return errBadStream
 		}
 	}
-	stall.Reset(lingerTime)
+	stall.Reset(streamEndTimeout)
 	events.drain()
 	return nil
 }
 
-func endOf(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/caller/request.go
+++ b/caller/request.go
@@ -18,7 +18,7 @@
 	"redwinghall/route"
 )
 
-// request is one caller's request on its way through the router.
+// request is a caller's request that the router is handling.
 type request struct {
 	id      string
 	hops    int
@@ -30,30 +30,30 @@
 	series  *series
 }
 
-// handler answers a request, or returns the error that refuses it. When it
-// has begun to answer it returns nil and the code that describes the end.
+// handler responds to a request, or returns the error with which to refuse it. An
+// error after the response has started wraps errResponseStarted.
 type handler func(ctx context.Context, w http.ResponseWriter, r *request) error
 
-// guarded wraps a handler with what every caller's request needs: an id, the
-// limits, the client account, the deadline, and one place that refuses.
-func (s *Server) guarded(next handler) http.HandlerFunc {
+// handle returns a handler function that calls next with what all requests need: the
+// request id, the limits, the client account and the deadline. It also sends refusals.
+func (s *Server) handle(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, hr *http.Request) {
 		started := time.Now()
-		r := &request{id: requestID(hr), started: started, view: s.board.View(), http: hr}
+		r := &request{id: requestID(hr), started: started, view: s.selector.View(), http: hr}
 		w.Header().Set(HeaderRequestID, r.id)
 		if s.draining() {
 			w.Header().Set("Connection", "close")
 		}
 		if s.inProgress.Add(1) > int64(s.config.MaxRequests) {
 			s.inProgress.Add(-1)
-			s.refuse(w, r, redwinghall.NewOpError("Server.guarded", redwinghall.CodeTooManyConnections, nil))
+			s.refuse(w, r, redwinghall.NewOpError("Server.handle", redwinghall.CodeTooManyConnections, nil))
 			return
 		}
 		defer s.inProgress.Add(-1)
 
 		timeout, err := s.prepare(w, r)
-		if err == nil && s.outlasts(time.Now().Add(timeout)) {
-			err = redwinghall.NewOpError("Server.guarded", redwinghall.CodeShuttingDown, nil)
+		if err == nil && s.exceedsDrain(time.Now().Add(timeout)) {
+			err = redwinghall.NewOpError("Server.handle", redwinghall.CodeShuttingDown, nil)
 		}
 		if err == nil {
 			ctx, cancel := context.WithTimeout(hr.Context(), timeout)
@@ -64,7 +64,8 @@
 	}
 }
 
-// prepare finds the client account and reads the body.
+// prepare looks up the client account, reads the headers and the body, and returns
+// the timeout of the request.
 func (s *Server) prepare(w http.ResponseWriter, r *request) (time.Duration, error) {
 	if r.view.Accepted.Generation == 0 {
 		return 0, redwinghall.NewOpError("Server.prepare", redwinghall.CodeNoManifest, nil)
@@ -98,9 +99,9 @@
 	return timeout, nil
 }
 
-// finish refuses a failed request, counts the outcome and logs it.
+// finish refuses a request that failed, and counts and logs the outcome.
 func (s *Server) finish(w http.ResponseWriter, r *request, err error) {
-	if errors.Is(err, errAnswered) {
+	if errors.Is(err, errResponseStarted) {
 		s.metrics.count(string(codeOf(err)))
 		klog.V(1).InfoS("answer_ended_early", "request_id", r.id, "client_account", r.account.ID, "code", codeOf(err))
 		return
@@ -115,7 +116,7 @@
 		"duration", time.Since(r.started))
 }
 
-// refuse answers with the error's code.
+// refuse sends an error response with the code of err.
 func (s *Server) refuse(w http.ResponseWriter, r *request, err error) {
 	code := codeOf(err)
 	body, status := newRefusal(code, r.id, detailOf(err))
@@ -128,8 +129,8 @@
 	body.write(w, status)
 }
 
-// retryAfter returns a better estimate than the table's where the queue gives
-// one; zero keeps the table's.
+// retryAfter returns the time that callers should wait, as estimated from the queues,
+// or zero if the time in the table of codes applies.
 func (s *Server) retryAfter(r *request, code redwinghall.Code) time.Duration {
 	if code != redwinghall.CodeQueueFull && code != redwinghall.CodeDeadlineTooShort {
 		return 0
@@ -141,7 +142,7 @@
 	return longest
 }
 
-// codeOf maps what went wrong to the code that the caller reads.
+// codeOf returns the code for the error response to the caller.
 func codeOf(err error) redwinghall.Code {
 	if code := redwinghall.KindOf[redwinghall.Code](err); code != "" {
 		return code
@@ -168,22 +169,24 @@
 	return ""
 }
 
-// maxRequestID bounds an id that a caller brings.
+// maxRequestID is the maximum length of a request id sent by a caller.
 const maxRequestID = 64
 
-// requestID returns the caller's id when it is plain, and a new one otherwise.
+// requestID returns the id that the caller sent if it is valid, and a new one
+// otherwise.
 func requestID(r *http.Request) string {
-	if id := r.Header.Get(HeaderRequestID); isPlainID(id) {
+	if id := r.Header.Get(HeaderRequestID); isValidID(id) {
 		return id
 	}
 	return rand.Text()
 }
 
-// isPlainID reports whether an id can stand in headers, events and logs.
-func isPlainID(id string) bool {
+// isValidID reports whether an id can be used in headers, events and logs without
+// escaping.
+func isValidID(id string) bool {
 	for _, c := range id {
-		plain := c == '-' || c == '_' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
-		if !plain {
+		valid := c == '-' || c == '_' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+		if !valid {
 			return false
 		}
 	}
--- a/caller/routes.go
+++ b/caller/routes.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// Headers that callers may send or receive.
+// Headers of requests from and responses to callers.
 const (
 	HeaderTimeout     = "Request-Timeout"
 	HeaderRequestID   = "X-Request-Id"
 	HeaderIdempotency = "Idempotency-Key"
 	HeaderLastEvent   = "Last-Event-Id"
 	HeaderReplayed    = "Idempotency-Replayed"
-	// HeaderHops counts how often routers have forwarded the request.
+	// HeaderHops is the number of times that routers have forwarded the request.
 	HeaderHops = "X-Redwinghall-Hops"
-	// HeaderGeneration tells, on readyz, which manifest the router has in force.
+	// HeaderGeneration is the generation of the manifest in force at the router, in
+	// responses of /readyz.
 	HeaderGeneration = "X-Redwinghall-Generation"
 )
 
-// Handler returns the callers' routes.
+// Handler returns the handler for all paths of the callers' listener.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", s.guarded(s.chat))
-	mux.HandleFunc("/v1/services/{service}/{path...}", s.guarded(s.service))
+	mux.HandleFunc("POST /v1/chat/completions", s.handle(s.chat))
+	mux.HandleFunc("/v1/services/{service}/{path...}", s.handle(s.service))
 	mux.HandleFunc("GET /healthz", s.healthz)
 	mux.HandleFunc("GET /readyz", s.readyz)
 	mux.Handle("GET /metrics", s.metrics)
-	mux.HandleFunc("/", s.guarded(s.unknownPath))
+	mux.HandleFunc("/", s.handle(s.unknownPath))
 	return mux
 }
 
@@ -39,8 +40,8 @@
 	maxHeaderBytes    = 32 << 10
 )
 
-// HTTPServer returns the callers' listener. It has no write timeout, because
-// a stream may last minutes; each request has its own deadline instead.
+// HTTPServer returns the HTTP server for callers. It has no write timeout because a
+// stream may take minutes; each request has its own deadline instead.
 func (s *Server) HTTPServer(address string) *http.Server {
 	return &http.Server{
 		Addr: address, Handler: s.Handler(),
@@ -53,10 +54,11 @@
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// readyz tells the balancer whether to send work here: not while stopping,
-// not before a manifest is known, and not while the zone is out of service.
+// readyz tells the load balancer whether to send requests to this router. It fails
+// while the router is stopping, until it has a manifest, and while the zone is out of
+// service.
 func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
-	view := s.board.View()
+	view := s.selector.View()
 	w.Header().Set(HeaderGeneration, strconv.FormatUint(view.Accepted.Generation, 10))
 	switch {
 	case s.draining():
--- a/caller/sequence.go
+++ b/caller/sequence.go
@@ -1,61 +1,62 @@
 package caller
 
-// maxHeld bounds how many chunks may wait for an earlier one.
-const maxHeld = 64
+// maxBuffered is the maximum number of chunks that wait for an earlier one.
+const maxBuffered = 64
 
-// sequence puts the chunks of one answer in order.
+// sequence puts the chunks of one response in order.
 //
-// Guard: after a resume, chunks of the first endpoint may arrive late, twice
-// or out of order beside those of the second; the caller would read a
-// chunk twice or miss one. A chunk counts only under this request's id, once, and
-// at its position.
+// After a resume, chunks of the first endpoint may arrive late, twice or out of order
+// among those of the second, so that the caller would receive a chunk twice or miss
+// one. Each position is therefore delivered once and in order, and only chunks with
+// this request's id are accepted.
 type sequence struct {
 	requestID string
 	next      int
-	held      map[int][]byte
+	buffered  map[int][]byte
 }
 
 func newSequence(requestID string, next int) *sequence {
 	return &sequence{requestID: requestID, next: next}
 }
 
-// offer takes a chunk and hands every chunk that is now due to deliver, in
-// order. It returns false when the stream cannot be trusted any more.
+// offer accepts a chunk and calls deliver for each chunk that is now next in order.
+// It returns false if the stream can no longer be relied on, because the chunk has
+// another request's id or too many chunks are out of order.
 func (q *sequence) offer(e Event, deliver func(position int, data []byte) error) (bool, error) {
 	if !e.HasID || e.RequestID != q.requestID {
 		return false, nil
 	}
 	if e.Position < q.next {
-		return true, nil // late or doubled
+		return true, nil // late or duplicate
 	}
 	if e.Position > q.next {
-		return q.hold(e), nil
+		return q.buffer(e), nil
 	}
 	if err := deliver(e.Position, e.Data); err != nil {
 		return true, err
 	}
 	q.next++
-	return true, q.deliverHeld(deliver)
+	return true, q.deliverBuffered(deliver)
 }
 
-func (q *sequence) hold(e Event) bool {
-	if len(q.held) >= maxHeld {
+func (q *sequence) buffer(e Event) bool {
+	if len(q.buffered) >= maxBuffered {
 		return false
 	}
-	if q.held == nil {
-		q.held = map[int][]byte{}
+	if q.buffered == nil {
+		q.buffered = map[int][]byte{}
 	}
-	q.held[e.Position] = append([]byte(nil), e.Data...)
+	q.buffered[e.Position] = append([]byte(nil), e.Data...)
 	return true
 }
 
-func (q *sequence) deliverHeld(deliver func(position int, data []byte) error) error {
+func (q *sequence) deliverBuffered(deliver func(position int, data []byte) error) error {
 	for {
-		data, ok := q.held[q.next]
+		data, ok := q.buffered[q.next]
 		if !ok {
 			return nil
 		}
-		delete(q.held, q.next)
+		delete(q.buffered, q.next)
 		if err := deliver(q.next, data); err != nil {
 			return err
 		}
--- a/caller/server.go
+++ b/caller/server.go
@@ -13,26 +13,26 @@
 	"redwinghall/route"
 )
 
-// Config bounds what callers may ask and how long things may take.
+// Config holds the limits and timeouts of a server.
 type Config struct {
 	Router           string
 	AvailabilityZone string
 	MaxBodyBytes     int64
 	MaxRequests      int
-	DefaultTimeout   time.Duration // of a request that names none
+	DefaultTimeout   time.Duration // of requests without a Request-Timeout header
 	MaxTimeout       time.Duration
-	// StallTimeout is the longest silence on a stream before another group
-	// continues it.
+	// StallTimeout is the longest time without a chunk before a stream is
+	// continued by another group.
 	StallTimeout time.Duration
-	// SettleTimeout is how much longer than its caller a service call may
-	// take before its outcome is recorded as unknown.
+	// SettleTimeout is how long a service call may continue after the service's
+	// timeout before its outcome is recorded as unknown.
 	SettleTimeout time.Duration
 	MaxAttempts   int
-	// RetryShare is how many retries may follow 100 requests.
+	// RetryPercent is the number of retries allowed for each 100 requests.
 	RetryPercent int
 }
 
-// WithDefaults returns the configuration with its empty fields filled.
+// WithDefaults returns the configuration with empty fields set to their defaults.
 func (c Config) WithDefaults() Config {
 	if c.MaxBodyBytes == 0 {
 		c.MaxBodyBytes = 1 << 20
@@ -61,19 +61,19 @@
 	return c
 }
 
-// Server answers callers.
+// Server handles callers' requests.
 type Server struct {
-	config  Config
-	board   *route.Board
-	keeper  *claim.Keeper
-	metrics *Metrics
-	budget  *Budget
-	streams *http.Transport
-	calls   *kernel.Group // service calls that may outlive their caller
+	config   Config
+	selector *route.Board
+	keeper   *claim.Keeper
+	metrics  *Metrics
+	budget   *Budget
+	streams  *http.Transport
+	calls    *kernel.Group // service calls, which may continue after the caller disconnects
 
 	inProgress atomic.Int64
-	sent       atomic.Int64              // attempts at calls that may not be repeated
-	drainEnd   atomic.Pointer[time.Time] // nil unless the router drains
+	onceCalls  atomic.Int64              // calls in progress that must run at most once
+	drainEnd   atomic.Pointer[time.Time] // nil unless the router is draining
 }
 
 const (
@@ -82,13 +82,14 @@
 	idleConnTimeout    = 5 * time.Second
 )
 
-// NewServer returns a server. Service calls run in calls, because a call that
-// was sent is followed to its outcome also when its caller has gone.
-func NewServer(config Config, board *route.Board, keeper *claim.Keeper, calls *kernel.Group) *Server {
+// NewServer returns a server. Calls that must run at most once run in the group calls,
+// because a call that was sent continues to its outcome even if the caller
+// disconnects.
+func NewServer(config Config, selector *route.Board, keeper *claim.Keeper, calls *kernel.Group) *Server {
 	config = config.WithDefaults()
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Server{
-		config: config, board: board, keeper: keeper, calls: calls,
+		config: config, selector: selector, keeper: keeper, calls: calls,
 		metrics: NewMetrics(),
 		budget:  NewBudget(config.RetryPercent),
 		streams: &http.Transport{
@@ -100,26 +101,28 @@
 	}
 }
 
-// Drain makes readyz fail and answers ask for closed connections, so that the
-// balancer sends new work elsewhere while requests in progress finish. From now
-// on only requests are taken whose deadline is before end.
+// Drain makes readyz fail and adds "Connection: close" to responses, so that the load
+// balancer sends new requests to other routers while requests in progress finish. From
+// now on the server accepts only requests whose deadline is not after end.
 func (s *Server) Drain(end time.Time) { s.drainEnd.Store(&end) }
 
 func (s *Server) draining() bool { return s.drainEnd.Load() != nil }
 
-// outlasts reports whether a request may still run when a drain ends.
+// exceedsDrain reports whether a request with this deadline may still be running when
+// the drain ends.
 //
-// Guard: a draining router that takes such a request closes its connection
-// without an answer, and nobody knows whether a call that may not be repeated
-// ran. Refused at once, it has not run, and goes to another router.
-func (s *Server) outlasts(deadline time.Time) bool {
+// If a draining router accepted such a request, it would close the connection without
+// a response, and whether a call that must run at most once was executed would be
+// unknown. A request that is refused at once was not executed and can be sent to
+// another router.
+func (s *Server) exceedsDrain(deadline time.Time) bool {
 	end := s.drainEnd.Load()
 	return end != nil && deadline.After(*end)
 }
 
-// CallsDone reports whether no call that may not be repeated is in progress,
-// with or without its caller.
-func (s *Server) CallsDone() bool { return s.sent.Load() == 0 }
+// CallsDone reports whether no calls that must run at most once are in progress,
+// including those whose callers have disconnected.
+func (s *Server) CallsDone() bool { return s.onceCalls.Load() == 0 }
 
 // Metrics returns the server's metrics.
 func (s *Server) Metrics() *Metrics { return s.metrics }
@@ -127,8 +130,8 @@
 // Budget returns the server's retry budget.
 func (s *Server) Budget() *Budget { return s.budget }
 
-// timeoutOf returns how long the request may take: its Request-Timeout header
-// or the default, never more than the maximum.
+// timeoutOf returns the timeout of a request: the value of its Request-Timeout header,
+// limited to MaxTimeout, or the default.
 func (s *Server) timeoutOf(r *http.Request) (time.Duration, error) {
 	text := r.Header.Get(HeaderTimeout)
 	if text == "" {
@@ -142,7 +145,7 @@
 	return min(d, s.config.MaxTimeout), nil
 }
 
-// detail is an error whose text is shown to the caller.
+// detail is an error whose message is sent to the caller.
 type detail string
 
 func (d detail) Error() string { return string(d) }
--- a/caller/service.go
+++ b/caller/service.go
@@ -18,13 +18,13 @@
 
 // Limits of service calls.
 const (
-	maxServiceAnswer  = 8 << 20
-	maxRecordedAnswer = 64 << 10
-	maxIdempotencyKey = 128
-	serviceTries      = 2
+	maxServiceResponse  = 8 << 20
+	maxRecordedResponse = 64 << 10
+	maxIdempotencyKey   = 128
+	maxServiceAttempts  = 2
 )
 
-// service serves calls to plain services.
+// service handles calls to plain services.
 func (s *Server) service(ctx context.Context, w http.ResponseWriter, r *request) error {
 	view, ok := r.view.Services[r.http.PathValue("service")]
 	if !ok {
@@ -54,34 +54,34 @@
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// checkIdempotencyKey bounds the key to what a table key can hold.
+// checkIdempotencyKey returns an error unless the key can be part of a table key.
 func checkIdempotencyKey(key string) error {
 	if key == "" {
 		return redwinghall.NewOpError("checkIdempotencyKey", redwinghall.CodeKeyRequired, nil)
 	}
-	plain := len(key) <= maxIdempotencyKey
+	valid := len(key) <= maxIdempotencyKey
 	for _, c := range key {
-		plain = plain && c > ' ' && c < 0x7f && c != '/'
+		valid = valid && c > ' ' && c < 0x7f && c != '/'
 	}
-	if !plain {
+	if !valid {
 		return redwinghall.NewOpError("checkIdempotencyKey", redwinghall.CodeBadRequest,
 			detail("the Idempotency-Key header needs 1 to 128 printable ASCII characters without space and slash"))
 	}
 	return nil
 }
 
-// callRepeatable calls a service that bears a call more than once.
+// callRepeatable executes a call that may be executed more than once.
 func (s *Server) callRepeatable(ctx context.Context, w http.ResponseWriter, r *request, view *route.ServiceView) error {
 	s.budget.RecordRequest()
-	tryTimeout := view.Service.Timeout.Std() / serviceTries
+	attemptTimeout := view.Service.Timeout.Std() / maxServiceAttempts
 	var last error
-	for try, i := range rand.Perm(len(view.Endpoints)) {
-		if try >= serviceTries || ctx.Err() != nil || (try > 0 && !s.budget.Spend()) {
+	for attempt, i := range rand.Perm(len(view.Endpoints)) {
+		if attempt >= maxServiceAttempts || ctx.Err() != nil || (attempt > 0 && !s.budget.Spend()) {
 			break
 		}
-		answer, err := s.callShared(ctx, tryTimeout, view.Endpoints[i].Address, r)
+		response, err := s.callShared(ctx, attemptTimeout, view.Endpoints[i].Address, r)
 		if err == nil {
-			writeAnswer(w, answer, false)
+			writeResponse(w, response, false)
 			return nil
 		}
 		last = err
@@ -96,15 +96,15 @@
 	if err != nil {
 		return redwinghall.Response{}, err
 	}
-	answer, err := s.streams.RoundTrip(out)
+	response, err := s.streams.RoundTrip(out)
 	if err != nil {
 		return redwinghall.Response{}, err
 	}
-	return readAnswer(answer)
+	return readResponse(response)
 }
 
-// serviceRequest builds the call to a service endpoint. The caller's API key
-// stays here.
+// serviceRequest returns the request to a service endpoint. It does not contain the
+// caller's API key.
 func serviceRequest(ctx context.Context, address string, r *request) (*http.Request, error) {
 	path := "/" + r.http.PathValue("path")
 	out, err := http.NewRequestWithContext(ctx, r.http.Method, "http://"+address, strings.NewReader(string(r.body)))
@@ -126,52 +126,53 @@
 	}
 }
 
-// readAnswer reads a whole answer; one that is cut off is an error.
-func readAnswer(answer *http.Response) (redwinghall.Response, error) {
-	defer func() { _ = answer.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxServiceAnswer+1))
+// readResponse reads a whole response. It returns an error if the body is truncated or
+// too large.
+func readResponse(response *http.Response) (redwinghall.Response, error) {
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxServiceResponse+1))
 	if err != nil {
 		return redwinghall.Response{}, err
 	}
-	if len(body) > maxServiceAnswer {
-		return redwinghall.Response{}, fmt.Errorf("the answer is larger than %d bytes", maxServiceAnswer)
+	if len(body) > maxServiceResponse {
+		return redwinghall.Response{}, fmt.Errorf("the response is larger than %d bytes", maxServiceResponse)
 	}
 	return redwinghall.Response{
-		Status: answer.StatusCode, ContentType: answer.Header.Get("Content-Type"), Body: body,
+		Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body,
 	}, nil
 }
 
-func writeAnswer(w http.ResponseWriter, a redwinghall.Response, replayed bool) {
-	if a.ContentType != "" {
-		w.Header().Set("Content-Type", a.ContentType)
+func writeResponse(w http.ResponseWriter, response redwinghall.Response, replayed bool) {
+	if response.ContentType != "" {
+		w.Header().Set("Content-Type", response.ContentType)
 	}
 	if replayed {
 		w.Header().Set(HeaderReplayed, "true")
 	}
-	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body) // the caller may be gone
+	w.WriteHeader(response.Status)
+	_, _ = w.Write(response.Body) // the caller may have disconnected
 }
 
-// forwardService hands the call to a router of another zone, before anything
-// is claimed here: the claim is made where the call is sent.
+// forwardService forwards the call to a router of another zone. Nothing is claimed
+// here: the router that sends the call to the service claims the key.
 func (s *Server) forwardService(ctx context.Context, w http.ResponseWriter, r *request, view *route.ServiceView) error {
 	if r.hops > 0 {
 		return redwinghall.NewOpError("Server.forwardService", redwinghall.CodeNoCapacity, nil)
 	}
 	tried := map[string]bool{}
 	for range s.config.MaxAttempts {
-		where, ok := s.gateway(tried, func(g route.Gateway) bool { return slices.Contains(g.Services, view.Service.ID) })
+		where, ok := s.chooseGateway(tried, func(g route.Gateway) bool { return slices.Contains(g.Services, view.Service.ID) })
 		if !ok {
 			break
 		}
 		tried[where.address] = true
-		answer, err := s.sendForward(ctx, where, r)
+		response, err := s.sendForward(ctx, where, r)
 		if err == nil {
-			return s.copyForward(w, answer)
+			return s.copyForward(w, response)
 		}
 		if !dial.Failed(err) {
-			// The other router may have claimed the key. The same key finds
-			// out what became of it.
+			// The other router may have claimed the key. The caller learns
+			// the outcome by sending the request again with the same key.
 			return redwinghall.NewOpError("Server.forwardService", redwinghall.CodeInProgress, err)
 		}
 	}
@@ -183,7 +184,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out.GetBody = nil // the transport sends it once
+	out.GetBody = nil // prevents the transport from retrying the request
 	out.URL.Path = r.http.URL.Path
 	out.URL.RawQuery = r.http.URL.RawQuery
 	copyHeaders(out.Header, r.http.Header, "Content-Type", "Accept", "Accept-Language", HeaderIdempotency, "Authorization")
@@ -193,14 +194,14 @@
 	return s.streams.RoundTrip(out)
 }
 
-func (s *Server) copyForward(w http.ResponseWriter, answer *http.Response) error {
-	defer func() { _ = answer.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxServiceAnswer))
+func (s *Server) copyForward(w http.ResponseWriter, response *http.Response) error {
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxServiceResponse))
 	if err != nil {
 		return redwinghall.NewOpError("Server.copyForward", redwinghall.CodeInProgress, err)
 	}
-	copyHeaders(w.Header(), answer.Header, "Content-Type", "Retry-After", HeaderReplayed)
-	w.WriteHeader(answer.StatusCode)
-	_, _ = w.Write(body) // the caller may be gone
+	copyHeaders(w.Header(), response.Header, "Content-Type", "Retry-After", HeaderReplayed)
+	w.WriteHeader(response.StatusCode)
+	_, _ = w.Write(body) // the caller may have disconnected
 	return nil
 }
--- a/caller/sink.go
+++ b/caller/sink.go
@@ -10,42 +10,43 @@
 	"redwinghall"
 )
 
-// sink takes the chunks of one answer in order, each once.
+// sink receives the chunks of one response, in order and each once.
 type sink interface {
-	// position is the first position that the caller still wants.
+	// position returns the first position that the caller has not yet received.
 	position() int
-	// chunk takes one chunk; more says that the next one is here already.
+	// chunk receives one chunk; more means that the next one is already
+	// available.
 	chunk(position int, data []byte, more bool) error
-	// done ends a complete answer.
+	// done ends a complete response.
 	done(position int) error
-	// abort tells the caller that the answer ends here; it reports false when
-	// nothing was sent yet, so that a plain refusal can be sent instead.
+	// abort tells the caller that the response ends incomplete. It returns false if
+	// nothing has been sent, so that a refusal can be sent instead.
 	abort(code redwinghall.Code) bool
 }
 
-// newSink returns the sink for the form that the caller asked for.
-func (s *Server) newSink(w http.ResponseWriter, r *request, asked chatRequest) (sink, error) {
-	clock := &chunkClock{series: r.series, last: r.started}
-	if !asked.Stream {
-		return &wholeSink{w: w, clock: clock, model: asked.Model, id: r.id}, nil
+// newSink returns the sink for a streamed or a whole response, as requested.
+func (s *Server) newSink(w http.ResponseWriter, r *request, req chatRequest) (sink, error) {
+	timer := &chunkTimer{series: r.series, last: r.started}
+	if !req.Stream {
+		return &bufferedSink{w: w, timer: timer, model: req.Model, id: r.id}, nil
 	}
 	first, err := firstPosition(r)
 	if err != nil {
 		return nil, err
 	}
 	w.Header().Set(HeaderRequestID, r.id)
-	return &streamSink{w: w, flusher: http.NewResponseController(w), clock: clock, id: r.id, first: first}, nil
+	return &streamSink{w: w, flusher: http.NewResponseController(w), timer: timer, id: r.id, first: first}, nil
 }
 
-// firstPosition returns where a caller that lost its connection wants to go
-// on: one after its Last-Event-ID.
+// firstPosition returns the position at which to start: the one after the
+// Last-Event-ID header of a caller that resumes a stream, or zero.
 func firstPosition(r *request) (int, error) {
 	last := r.http.Header.Get(HeaderLastEvent)
 	if last == "" {
 		return 0, nil
 	}
 	id, position, ok := parseEventID([]byte(last))
-	if !ok || !isPlainID(id) {
+	if !ok || !isValidID(id) {
 		return 0, redwinghall.NewOpError("firstPosition", redwinghall.CodeBadRequest,
 			detail("the Last-Event-ID header is not one that this router sent"))
 	}
@@ -53,14 +54,14 @@
 	return position + 1, nil
 }
 
-// chunkClock measures the time to the first and between later chunks.
-type chunkClock struct {
+// chunkTimer measures the time to the first chunk and between later ones.
+type chunkTimer struct {
 	series *series
 	last   time.Time
 	count  int
 }
 
-func (c *chunkClock) tick(now time.Time) {
+func (c *chunkTimer) record(now time.Time) {
 	if c.count == 0 {
 		observe(c.series.firstToken, now.Sub(c.last))
 	} else {
@@ -70,11 +71,11 @@
 	c.last = now
 }
 
-// streamSink passes chunks on as server-sent events.
+// streamSink sends chunks to the caller as server-sent events.
 type streamSink struct {
 	w       http.ResponseWriter
 	flusher *http.ResponseController
-	clock   *chunkClock
+	timer   *chunkTimer
 	id      string
 	first   int
 	started bool
@@ -83,12 +84,11 @@
 
 func (k *streamSink) position() int { return k.first }
 
-// chunk passes a chunk on. It is sent at once unless the next one is here
-// already: then both go in one packet, which costs one system call less and
-// the caller no time.
+// chunk sends a chunk at once unless the next one is already available. In that case
+// both are sent in one packet, which saves a system call without delaying the caller.
 func (k *streamSink) chunk(position int, data []byte, more bool) error {
 	k.start()
-	k.clock.tick(time.Now())
+	k.timer.record(time.Now())
 	k.buffer = appendEvent(k.buffer[:0], k.id, position, data)
 	return k.send(k.buffer, !more)
 }
@@ -104,7 +104,7 @@
 	if err != nil {
 		return true
 	}
-	_ = k.send(append(append([]byte("data: "), data...), "\n\n"...), true) // the caller may be gone
+	_ = k.send(append(append([]byte("data: "), data...), "\n\n"...), true) // the caller may have disconnected
 	return true
 }
 
@@ -121,21 +121,21 @@
 
 func (k *streamSink) send(data []byte, flush bool) error {
 	if _, err := k.w.Write(data); err != nil {
-		return errors.Join(errSinkGone, err)
+		return errors.Join(errCallerGone, err)
 	}
 	if !flush {
 		return nil
 	}
 	if err := k.flusher.Flush(); err != nil {
-		return errors.Join(errSinkGone, err)
+		return errors.Join(errCallerGone, err)
 	}
 	return nil
 }
 
-// wholeSink collects the answer and sends it as one chat completion.
-type wholeSink struct {
+// bufferedSink collects the chunks and sends the response as one chat completion.
+type bufferedSink struct {
 	w     http.ResponseWriter
-	clock *chunkClock
+	timer *chunkTimer
 	model string
 	id    string
 
@@ -144,7 +144,7 @@
 	chunks  int
 }
 
-// completionChunk is the part of a streamed chunk that a whole answer needs.
+// completionChunk holds the fields of a streamed chunk that a chat completion needs.
 type completionChunk struct {
 	Choices []struct {
 		Delta struct {
@@ -154,7 +154,7 @@
 	} `json:"choices"`
 }
 
-// Completion is a whole chat completion in the usual OpenAI form.
+// Completion is a whole chat completion in the format of OpenAI's API.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -163,32 +163,33 @@
 	Usage   Usage    `json:"usage"`
 }
 
-// Choice is one answer of a completion.
+// Choice is one choice of a completion.
 type Choice struct {
 	Index        int     `json:"index"`
 	Message      Message `json:"message"`
 	FinishReason string  `json:"finish_reason"`
 }
 
-// Message is what was said, and by whom.
+// Message is a chat message with the role of its author.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Usage counts the chunks of the answer.
+// Usage holds the number of chunks of the response, which is reported as the number of
+// tokens.
 type Usage struct {
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-func (k *wholeSink) position() int { return 0 }
+func (k *bufferedSink) position() int { return 0 }
 
-func (k *wholeSink) chunk(_ int, data []byte, _ bool) error {
+func (k *bufferedSink) chunk(_ int, data []byte, _ bool) error {
 	var c completionChunk
 	if err := json.Unmarshal(data, &c); err != nil {
-		return redwinghall.NewOpError("wholeSink.chunk", redwinghall.CodeEndpointFailed, err)
+		return redwinghall.NewOpError("bufferedSink.chunk", redwinghall.CodeEndpointFailed, err)
 	}
-	k.clock.tick(time.Now())
+	k.timer.record(time.Now())
 	k.chunks++
 	for _, choice := range c.Choices {
 		k.content.WriteString(choice.Delta.Content)
@@ -199,7 +200,7 @@
 	return nil
 }
 
-func (k *wholeSink) done(int) error {
+func (k *bufferedSink) done(int) error {
 	k.w.Header().Set("Content-Type", "application/json")
 	err := json.NewEncoder(k.w).Encode(Completion{
 		ID: k.id, Object: "chat.completion", Model: k.model,
@@ -207,9 +208,9 @@
 		Usage:   Usage{CompletionTokens: k.chunks},
 	})
 	if err != nil {
-		return errors.Join(errSinkGone, err)
+		return errors.Join(errCallerGone, err)
 	}
 	return nil
 }
 
-func (k *wholeSink) abort(redwinghall.Code) bool { return false }
+func (k *bufferedSink) abort(redwinghall.Code) bool { return false }
--- a/caller/sse.go
+++ b/caller/sse.go
@@ -14,19 +14,20 @@
 	readBuffer   = 8 << 10
 )
 
-// errBadStream is a stream that does not follow the event format.
-var errBadStream = errors.New("stream is not well formed")
+// errBadStream means that a stream is not a valid stream of events.
+var errBadStream = errors.New("stream is malformed")
 
-// Event is one server-sent event of an answer. Its id is the request id and
-// the position in the answer, so that no chunk can be taken for another's.
+// Event is one server-sent event of a response. Its id consists of the request id and
+// the position in the response, so that chunks of different requests or positions
+// cannot be confused.
 type Event struct {
 	RequestID string
 	Position  int
 	HasID     bool
-	Data      []byte // valid until the next call of Next
+	Data      []byte // valid until the next call to Next
 }
 
-// doneData marks the end of an answer; an answer without it is not complete.
+// doneData marks the end of a response. A response without it is incomplete.
 var doneData = []byte("[DONE]")
 
 // IsDone reports whether the event is the end mark.
@@ -49,8 +50,8 @@
 	fieldData = []byte("data:")
 )
 
-// Next returns the next event that has data. io.EOF means that the stream
-// ended, which is no end of the answer: only the end mark is.
+// Next returns the next event that has data. io.EOF means that the stream has ended;
+// the response is complete only if the end mark was read before.
 func (e *EventReader) Next() (Event, error) {
 	var event Event
 	e.data = e.data[:0]
@@ -80,7 +81,7 @@
 	}
 }
 
-// readLine returns one line without its end.
+// readLine returns the next line without its line ending.
 func (e *EventReader) readLine() ([]byte, error) {
 	e.line = e.line[:0]
 	for {
@@ -101,12 +102,12 @@
 	}
 }
 
-// More reports whether another event may be read without waiting.
+// More reports whether data of another event is already buffered.
 func (e *EventReader) More() bool { return e.r.Buffered() > 0 }
 
-// drain reads what follows the end mark: nothing but the end of the stream.
+// drain reads the rest of the stream after the end mark, normally just its end.
 func (e *EventReader) drain() {
-	_, _ = io.CopyN(io.Discard, e.r, maxEventLine) // an error ends it as well
+	_, _ = io.CopyN(io.Discard, e.r, maxEventLine) // an error ends the stream too
 }
 
 func trimEnd(line []byte) []byte {
@@ -114,7 +115,7 @@
 	return bytes.TrimSuffix(line, []byte("\r"))
 }
 
-// parseEventID splits "request id/position".
+// parseEventID splits an event id into the request id and the position.
 func parseEventID(id []byte) (requestID string, position int, ok bool) {
 	at := bytes.LastIndexByte(id, '/')
 	if at < 0 {
@@ -127,12 +128,12 @@
 	return string(id[:at]), position, true
 }
 
-// EventID joins a request id and a position.
+// EventID returns the event id of a request id and a position.
 func EventID(requestID string, position int) string {
 	return requestID + "/" + strconv.Itoa(position)
 }
 
-// appendEvent appends the wire form of an event.
+// appendEvent appends an event in the format in which it is sent.
 func appendEvent(out []byte, requestID string, position int, data []byte) []byte {
 	out = append(out, "id: "...)
 	out = append(out, requestID...)
--- a/caller/stream_test.go
+++ b/caller/stream_test.go
@@ -20,8 +20,8 @@
 	"redwinghall/standin/link"
 )
 
-// streaming starts one zone with three groups of two VMs.
-func streaming(t *testing.T, stall time.Duration) *rwhtest.Deployment {
+// startStreaming starts one zone with three groups of two VMs.
+func startStreaming(t *testing.T, stall time.Duration) *rwhtest.Deployment {
 	t.Helper()
 	d := rwhtest.Start(t, rwhtest.Options{
 		RoutersPerZone: 2, VMsPerGroup: 2, Replicas: 3, StallTimeout: stall,
@@ -31,12 +31,11 @@
 	return d
 }
 
-// Road crews lose their fitting guidance in the middle of an answer.
-// Order: many answers stream at once; engines cut some after a few chunks,
-// double and reorder others; each goes on at another group.
-// Judge: every answer equals, byte for byte, what the engine must say.
+// While many responses are streamed at once, engines cut some after a few chunks, and
+// duplicate and reorder the chunks of others. Another group continues each of them.
+// Every response must be complete and equal to the expected text byte for byte.
 func TestCutAndShuffledStreamsStayWhole(t *testing.T) {
-	d := streaming(t, 20*time.Second)
+	d := startStreaming(t, 20*time.Second)
 	random := rand.New(rand.NewPCG(1, 2))
 	for i, vm := range d.VMs() {
 		if vm.Service == "" {
@@ -49,11 +48,10 @@
 	require.Equal(t, 1200, result.Whole, result.String())
 }
 
-// A driver's answer stops and never goes on.
-// Order: the engine sends some chunks and falls silent with the connection
-// open. Cause: nothing bounded the time between chunks.
-func TestSilentStreamGoesOnElsewhere(t *testing.T) {
-	d := streaming(t, 300*time.Millisecond)
+// The engine sends some chunks and then nothing, with the connection open. Without a
+// limit on the time between chunks, the response would never continue.
+func TestStalledStreamContinuesOnAnotherGroup(t *testing.T) {
+	d := startStreaming(t, 300*time.Millisecond)
 	for _, vm := range d.VMs() {
 		if vm.Service == "" {
 			d.Fleet.VM(vm.ID).SetFaults(engine.StreamFaults{StallStreams: 1, CutAt: 5})
@@ -63,9 +61,9 @@
 	require.Equal(t, 20, result.Whole, result.String())
 }
 
-// Every connection to an endpoint that was open goes silent for good, while
-// new ones work: something between the ends has lost track of them.
-func TestForgottenConnectionsAreReplaced(t *testing.T) {
+// All open connections to the endpoints become silent forever while new ones work, as
+// happens when a device on the path loses its connection state.
+func TestSilentConnectionsAreReplaced(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{
 		VMsPerGroup: 1, Replicas: 2, StallTimeout: 300 * time.Millisecond,
 		Engine: engine.Config{TokenDelay: redwinghall.Duration(time.Millisecond)},
@@ -95,10 +93,10 @@
 	require.Equal(t, 20, result.Whole, result.String())
 }
 
-// Callers with equal questions at the same time must each get an answer of
-// their own, whole, also when their chunks have equal positions.
+// Callers that send equal requests at the same time must each receive a complete
+// response of their own, although the chunks of all of them have the same positions.
 func TestEqualRequestsAtOnceAreKeptApart(t *testing.T) {
-	d := streaming(t, 20*time.Second)
+	d := startStreaming(t, 20*time.Second)
 	body := `{"model":"` + rwhtest.Model + `","stream":true,"max_tokens":12,"messages":[{"role":"user","content":"same"}]}`
 	replies := make(chan rwhtest.Reply, 50)
 	g := kernel.NewGroup(t.Context())
@@ -114,15 +112,15 @@
 	ids := map[string]bool{}
 	for r := range replies {
 		id := r.Header.Get(caller.HeaderRequestID)
-		require.False(t, ids[id], "an id was given twice")
+		require.False(t, ids[id], "duplicate request id")
 		ids[id] = true
-		require.Equal(t, 13, strings.Count(r.Body, "id: "+id+"/"), "every chunk carries the caller's own id")
+		require.Equal(t, 13, strings.Count(r.Body, "id: "+id+"/"), "every chunk has the id of its own request")
 		require.True(t, strings.HasSuffix(r.Body, "data: [DONE]\n\n"))
 	}
 }
 
 func TestWholeAnswerEqualsStream(t *testing.T) {
-	d := streaming(t, 20*time.Second)
+	d := startStreaming(t, 20*time.Second)
 	body := `{"model":"` + rwhtest.Model + `","max_tokens":5,"messages":[{"role":"user","content":"x"}]}`
 	r, err := d.Call(t.Context(), http.MethodPost, d.Caller(0), "/v1/chat/completions", body, nil)
 	require.NoError(t, err)
@@ -157,15 +155,15 @@
 	d := rwhtest.Start(t, rwhtest.Options{})
 	d.Submit("v1")
 	body := `{"model":"chain-advice","stream":true,"max_tokens":4,"messages":[1]}`
-	ask := func(last string) rwhtest.Reply {
+	send := func(last string) rwhtest.Reply {
 		r, err := d.Call(t.Context(), http.MethodPost, d.Caller(0), "/v1/chat/completions", body, map[string]string{caller.HeaderLastEvent: last})
 		require.NoError(t, err)
 		return r
 	}
 	for _, bad := range []string{"x", "a b/1", "a/-1", "/1", strings.Repeat("a", 80) + "/1"} {
-		require.Equal(t, redwinghall.CodeBadRequest, codeOf(t, ask(bad)), bad)
+		require.Equal(t, redwinghall.CodeBadRequest, codeOf(t, send(bad)), bad)
 	}
-	r := ask("ask-1/1")
+	r := send("ask-1/1")
 	require.Equal(t, http.StatusOK, r.Status)
 	require.True(t, strings.HasPrefix(r.Body, "id: ask-1/2\n"), r.Body)
 }
