--- a/daemon/controller.go
+++ b/daemon/controller.go
@@ -21,7 +21,7 @@
 
 const shutdownTimeout = 10 * time.Second
 
-// Controller is an assembled controller.
+// Controller is a controller process.
 type Controller struct {
 	settings ControllerSettings
 	Node     *peer.Node
@@ -30,7 +30,7 @@
 	follower *tablehttp.Follower
 }
 
-// NewController assembles a controller.
+// NewController returns a controller with the given settings.
 func NewController(s ControllerSettings) (*Controller, error) {
 	peerToken, err := s.PeerToken.Read()
 	if err != nil {
@@ -60,8 +60,9 @@
 	return c, nil
 }
 
-// Run works until ctx ends, then finishes the operators' requests in progress,
-// gives up the zone's lease, and stops; another controller takes over.
+// Run runs the controller until ctx is done. It then completes the operators' requests
+// in progress, releases the zone's lease so that another controller can take over, and
+// stops.
 func (c *Controller) Run(ctx context.Context) error {
 	g := kernel.NewGroup(context.Background())
 	peers := peerServer(c.settings.PeerAddress, c.Node.Handler())
@@ -111,8 +112,8 @@
 	return accepted, true
 }
 
-// Refresh implements operator.Backend: the decision just recorded is read
-// back and pushed to the peers at once.
+// Refresh implements operator.Backend. It reads the change that was just recorded from
+// the table and publishes it to the peers at once.
 func (c *Controller) Refresh() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/daemon/controller_settings.go
+++ b/daemon/controller_settings.go
@@ -26,7 +26,7 @@
 	return load(path, ControllerSettings.WithDefaults)
 }
 
-// WithDefaults returns the settings with their empty fields filled.
+// WithDefaults returns the settings with empty fields set to their defaults.
 func (s ControllerSettings) WithDefaults() ControllerSettings {
 	s.Common = s.withDefaults()
 	s.StepInterval = orDefault(s.StepInterval, time.Second)
@@ -40,7 +40,7 @@
 	return s
 }
 
-// Validate returns everything wrong with the settings, ordered by path.
+// Validate returns all validation errors of the settings, ordered by path.
 func (s ControllerSettings) Validate() redwinghall.Faults {
 	f := s.validate()
 	f = append(f, validateAddress("operator_address", s.OperatorAddress)...)
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -12,7 +12,7 @@
 	"redwinghall/kernel"
 )
 
-// Limits of the peers' listener.
+// Limits of the listener for peers.
 const (
 	peerReadHeaderTimeout = 2 * time.Second
 	peerReadTimeout       = 10 * time.Second
@@ -22,8 +22,8 @@
 	peerMaxBody           = 16 << 20
 )
 
-// serve runs an HTTP server in the group. The listener is opened before it
-// returns, so that a taken port is an error at the start.
+// serve runs an HTTP server in the group. It opens the listener before it returns, so
+// that a port that is already in use is reported at startup.
 func serve(g *kernel.Group, name string, server *http.Server, maxConnections int) error {
 	listener, err := net.Listen("tcp", server.Addr)
 	if err != nil {
--- a/daemon/main.go
+++ b/daemon/main.go
@@ -18,7 +18,7 @@
 	"redwinghall"
 )
 
-// Exit codes of every program.
+// Exit codes of all programs.
 const (
 	ExitOK      = 0
 	ExitFailure = 1
@@ -28,7 +28,7 @@
 // Version is the version of all programs.
 const Version = "0.1.0"
 
-// Options are the command line of a daemon.
+// Options holds the command-line options of a daemon.
 type Options struct {
 	Settings string `short:"s" long:"settings" description:"the settings file (JSON)" value-name:"FILE"`
 	Check    bool   `long:"check" description:"check the settings and stop"`
@@ -36,16 +36,16 @@
 	Verbose  int    `short:"v" long:"verbose" description:"log level: 0 events, 1 refusals, 2 each request" default:"0"`
 }
 
-// Program is a daemon's command line.
+// Program describes the command line of a daemon.
 type Program struct {
 	Name string
 	Help string
-	// DefaultSettings is the settings file where the command line names none.
+	// DefaultSettings is the settings file used if the command line has none.
 	DefaultSettings string
 }
 
-// Start reads the settings at a path. Unless they are only checked, it returns
-// what runs the daemon until its context ends.
+// Start loads the settings at path. Unless check is set, it returns a function that
+// runs the daemon until its context is done.
 type Start func(path string, check bool) (func(context.Context) error, error)
 
 // Main runs a daemon without a default settings file.
@@ -53,8 +53,8 @@
 	return Program{Name: name, Help: help}.Main(args, out, errOut, start)
 }
 
-// Main runs a daemon: it reads the command line and the settings, and runs
-// until SIGTERM or SIGINT. It returns the exit code.
+// Main parses the command line, loads the settings and runs the daemon until SIGTERM or
+// SIGINT. It returns the exit code.
 func (p Program) Main(args []string, out, errOut io.Writer, start Start) int {
 	name, help := p.Name, p.Help
 	options := Options{Settings: p.DefaultSettings}
@@ -85,20 +85,20 @@
 		return ExitOK
 	}
 	SetupLogs(options.Verbose)
-	tuneMemory()
+	setMemoryLimits()
 	return run(name, options, out, errOut, start)
 }
 
-// A daemon's live heap is small, so by default the collector would run very
-// often. It may use more memory instead, up to a limit below what a node may
-// spend on control.
+// A daemon's live heap is small, so with the default settings the garbage collector
+// would run very often. These settings let it run less often and use more memory, up
+// to a limit below the memory that a node may use for control.
 const (
-	collectPercent = 400
-	memoryLimit    = 192 << 20
+	gcPercent   = 400
+	memoryLimit = 192 << 20
 )
 
-func tuneMemory() {
-	debug.SetGCPercent(collectPercent)
+func setMemoryLimits() {
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(memoryLimit)
 }
 
@@ -122,7 +122,7 @@
 	return ExitOK
 }
 
-// WriteFaults prints everything wrong with a file, a line each.
+// WriteFaults prints all validation errors of a file, one on each line.
 func WriteFaults(w io.Writer, name, path string, err error) {
 	var faults redwinghall.Faults
 	if !errors.As(err, &faults) {
@@ -136,11 +136,11 @@
 	}
 }
 
-// SetupLogs sets klog's values, which it would otherwise read from the
-// standard flags.
+// SetupLogs configures klog, which otherwise reads its configuration from the flag
+// package.
 func SetupLogs(verbose int) {
 	set := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(set)
-	_ = set.Set("logtostderr", "true") // both names exist in this version of klog
+	_ = set.Set("logtostderr", "true") // both flags exist in this version of klog
 	_ = set.Set("v", strconv.Itoa(verbose))
 }
--- a/daemon/router.go
+++ b/daemon/router.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	refreshInterval = 100 * time.Millisecond
-	owedInterval    = 20 * time.Millisecond
-	grantInterval   = ramp.GrantTTL / 4
+	refreshInterval    = 100 * time.Millisecond
+	drainCheckInterval = 20 * time.Millisecond
+	grantInterval      = ramp.GrantTTL / 4
 )
 
-// Router is an assembled router.
+// Router is a router process.
 type Router struct {
 	settings RouterSettings
 	Node     *peer.Node
@@ -36,8 +36,9 @@
 	calls    *kernel.Group
 }
 
-// NewRouter assembles a router. Service calls that were sent outlive ctx's
-// end until the router has drained.
+// NewRouter returns a router with the given settings. Service calls that must run at
+// most once run in a group of their own, so that they can complete while the router
+// drains.
 func NewRouter(s RouterSettings) (*Router, error) {
 	token, err := s.PeerToken.Read()
 	if err != nil {
@@ -54,7 +55,7 @@
 	}, s.Peers, token)
 	node.Interval = s.ExchangeInterval.Std()
 	node.HealthBound = s.AliveBound.Std()
-	board := route.NewBoard(route.BoardConfig{
+	selector := route.NewBoard(route.BoardConfig{
 		AvailabilityZone: s.AvailabilityZone, Router: s.ID, AliveBound: s.AliveBound.Std(),
 		Ramp: ramp.Owned{}, Picker: picker,
 	})
@@ -69,9 +70,9 @@
 		DefaultTimeout: s.DefaultTimeout.Std(), MaxTimeout: s.MaxTimeout.Std(),
 		StallTimeout: s.StallTimeout.Std(), SettleTimeout: s.SettleTimeout.Std(),
 		MaxAttempts: s.MaxTries, RetryPercent: s.RetryPercent,
-	}, board, keeper, calls)
+	}, selector, keeper, calls)
 	r := &Router{
-		settings: s, Node: node, Selector: board, Server: server, Keeper: keeper,
+		settings: s, Node: node, Selector: selector, Server: server, Keeper: keeper,
 		Poller:   endpoint.NewPoller(endpoint.NewClient(s.PollInterval.Std()*4/5), node),
 		follower: tablehttp.NewFollower(table, node, s.HeadInterval.Std()),
 		calls:    calls,
@@ -80,7 +81,7 @@
 	return r, nil
 }
 
-// addGauges shows what the router spends on control beside what it serves.
+// addGauges adds gauges of the router's control traffic, claims and retries.
 func (r *Router) addGauges() {
 	gauge := r.Server.Metrics().Gauge
 	gauge("peer.bytes_sent", func() int64 { return int64(r.Node.Traffic.Sent.Load()) })
@@ -94,8 +95,8 @@
 	gauge("manifest.generation", func() int64 { return int64(r.Selector.View().Accepted.Generation) })
 }
 
-// Run serves until ctx ends, then drains: it takes no new work, finishes what
-// is in progress, records what is owed, and stops.
+// Run serves requests until ctx is done, and then drains: it completes the requests in
+// progress, records the outcomes of calls, and stops.
 func (r *Router) Run(ctx context.Context) error {
 	g := kernel.NewGroup(context.Background())
 	callers := r.Server.HTTPServer(r.settings.CallerAddress)
@@ -111,7 +112,7 @@
 		r.Selector.Refresh(now, r.Node.Health, r.Node.Live(peer.Router))
 	})
 	g.Go("route.rebuild", r.rebuildLoop)
-	g.Every("route.grants", grantInterval, r.askGrants)
+	g.Every("route.grants", grantInterval, r.requestGrants)
 	if err := serve(g, "caller.listener", callers, r.settings.MaxConnections); err != nil {
 		g.Stop()
 		_ = peers.Close()
@@ -131,9 +132,10 @@
 	return g.Wait()
 }
 
-// askGrants asks the zone's holder for the cold groups that fall to this
-// router. A grant counts from now, before the asking.
-func (r *Router) askGrants(ctx context.Context, now time.Time) {
+// requestGrants asks the holder of the zone's lease for grants to send to the cold
+// groups that this router owns. Grants expire GrantTTL after now, which is before the
+// request is sent.
+func (r *Router) requestGrants(ctx context.Context, now time.Time) {
 	groups := r.Selector.WantsGrant(endpoint.RouterIDs(r.Node))
 	if len(groups) == 0 {
 		return
@@ -159,19 +161,19 @@
 	}
 }
 
-// drain ends the router's work in the order in which others depend on it: the
-// balancer and the peers hear first, then requests in progress end, then
-// service calls that outlived their callers, then what is owed to the table.
+// drain stops the router in this order: it informs the load balancer and the peers,
+// and then waits for requests in progress, for service calls whose callers have
+// disconnected, and for the outcomes that are not yet recorded in the table.
 //
-// Guard: a router that closes its listener at once cuts off requests that the
-// balancer still sends to it, and one that exits before its outcomes are
-// recorded leaves calls whose outcome nobody can look up.
+// If the router closed its listener at once, requests that the load balancer still
+// sends to it would fail. If it exited before outcomes are recorded, they could not be
+// looked up later.
 func (r *Router) drain(callers *http.Server) {
 	klog.InfoS("router_draining", "id", r.settings.ID)
-	begun := time.Now()
-	end := begun.Add(r.settings.DrainDelay.Std() + r.settings.DrainTimeout.Std())
+	started := time.Now()
+	end := started.Add(r.settings.DrainDelay.Std() + r.settings.DrainTimeout.Std())
 	r.Server.Drain(end)
-	r.Node.Leave(begun)
+	r.Node.Leave(started)
 	time.Sleep(r.settings.DrainDelay.Std())
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
@@ -185,7 +187,7 @@
 }
 
 func waitUntil(ctx context.Context, done func() bool) {
-	ticker := time.NewTicker(owedInterval)
+	ticker := time.NewTicker(drainCheckInterval)
 	defer ticker.Stop()
 	for !done() {
 		select {
--- a/daemon/router_settings.go
+++ b/daemon/router_settings.go
@@ -32,7 +32,7 @@
 	return load(path, RouterSettings.WithDefaults)
 }
 
-// WithDefaults returns the settings with their empty fields filled.
+// WithDefaults returns the settings with empty fields set to their defaults.
 func (s RouterSettings) WithDefaults() RouterSettings {
 	s.Common = s.withDefaults()
 	s.PollInterval = orDefault(s.PollInterval, 500*time.Millisecond)
@@ -61,7 +61,7 @@
 	return v
 }
 
-// Validate returns everything wrong with the settings, ordered by path.
+// Validate returns all validation errors of the settings, ordered by path.
 func (s RouterSettings) Validate() redwinghall.Faults {
 	f := s.validate()
 	f = append(f, validateAddress("caller_address", s.CallerAddress)...)
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -1,6 +1,5 @@
-// Package daemon holds what the router and the controller share as programs:
-// settings, tokens, logs and signals, and the assembly of each from the
-// library's parts.
+// Package daemon implements the router and controller programs: their settings, tokens,
+// logging and signal handling, and how each is composed from the other packages.
 package daemon
 
 import (
@@ -15,8 +14,8 @@
 	"redwinghall/strictjson"
 )
 
-// Token says where a secret is read from: a file or an environment variable,
-// never the command line.
+// Token is the source of a secret: a file or an environment variable. Secrets are never
+// passed on the command line.
 type Token struct {
 	File string `json:"file"`
 	Env  string `json:"env"`
@@ -52,7 +51,7 @@
 	return f
 }
 
-// Common are the settings of both daemons.
+// Common holds the settings that the router and the controller have in common.
 type Common struct {
 	ID               string               `json:"id"`
 	AvailabilityZone string               `json:"availability_zone"`
@@ -101,7 +100,8 @@
 	return f
 }
 
-// validateAddress wants an IP number and a port: processes talk by IP numbers.
+// validateAddress checks that the address consists of an IP address and a port.
+// Processes connect to each other by IP address, without DNS.
 func validateAddress(path, address string) redwinghall.Faults {
 	var f redwinghall.Faults
 	host, port, err := net.SplitHostPort(address)
@@ -111,12 +111,13 @@
 	return f
 }
 
-// settings is what a daemon's settings type offers.
+// settings is implemented by the settings types of the daemons.
 type settings interface {
 	Validate() redwinghall.Faults
 }
 
-// load reads settings strictly into dst, fills the defaults and validates.
+// load reads a settings file with strictjson, sets the defaults and validates the
+// result.
 func load[S settings](path string, withDefaults func(S) S) (S, error) {
 	var out S
 	data, err := os.ReadFile(path)
--- a/daemon/settings_test.go
+++ b/daemon/settings_test.go
@@ -17,7 +17,7 @@
 const goodRouter = `{"id":"router-1","availability_zone":"tartu","peer_address":"127.0.0.1:1","platform_address":"127.0.0.1:2",
  "caller_address":"127.0.0.1:3","peer_token":{"env":"RWH_SETTINGS_TEST"},"stall_timeout":"1.5s"}`
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -42,7 +42,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := daemon.LoadRouter(write(t, tt.in))
+			_, err := daemon.LoadRouter(writeFile(t, tt.in))
 			var faults redwinghall.Faults
 			if tt.want == nil {
 				require.NoError(t, err)
--- a/daemon/stop_test.go
+++ b/daemon/stop_test.go
@@ -17,12 +17,11 @@
 	"redwinghall/standin/service"
 )
 
-// A haulier's deposit reaches a router just after its signal to stop, while the
-// balancer still sends callers there. The service works on it for longer than
-// the router's drain may take: the router calls it, and when the drain is over
-// closes the connection without an answer. Cause: a draining router takes
-// requests without regard to the end of its drain, though it knows that end.
-func TestDrainingRouterTakesNothingThatItCannotFinish(t *testing.T) {
+// A call reaches a router just after the signal to stop, while the load balancer still
+// sends requests to it. The service takes longer than the drain. If the router accepted
+// the call without regard to the end of its drain, it would close the caller's
+// connection without a response when the drain ends.
+func TestDrainingRouterRefusesRequestsItCannotFinish(t *testing.T) {
 	var platform string
 	d := rwhtest.Start(t, rwhtest.Options{PlatformVia: func(address string) string {
 		platform = address
@@ -33,25 +32,25 @@
 	stopping, stop := context.WithCancel(context.Background())
 	g := kernel.NewGroup(context.Background())
 	g.Go("router", func(context.Context) error { return router.Run(stopping) })
-	d.Eventually("the router books", func() bool {
-		r, err := book(t, d, address, "warm")
+	d.Eventually("the router executes calls", func() bool {
+		r, err := sendDeposit(t, d, address, "warm")
 		return err == nil && r.Status == http.StatusOK
 	})
 	for _, s := range d.Services {
 		s.SetFaults(service.Faults{Delay: redwinghall.Duration(4 * time.Second)})
 	}
-	d.Client.CloseIdleConnections() // Go's client sends a request again if a kept connection ends
+	d.Client.CloseIdleConnections() // Go's client retries a request if a reused connection is closed
 	stop()
 	time.Sleep(100 * time.Millisecond)
-	asked := time.Now()
-	_, err := book(t, d, address, "late")
-	took := time.Since(asked).Round(100 * time.Millisecond)
+	sent := time.Now()
+	_, err := sendDeposit(t, d, address, "late")
+	took := time.Since(sent).Round(100 * time.Millisecond)
 	require.NoError(t, g.Wait())
-	require.NoError(t, err, "sent 0.1 s after the signal; its connection closed without an answer after %s", took)
+	require.NoError(t, err, "sent 0.1 s after the signal; its connection was closed without a response after %s", took)
 }
 
-// newDrainingRouter returns a router that drains for 0.5 s and 1 s, and where
-// callers reach it.
+// newDrainingRouter returns a router with a drain delay of 0.5 s and a drain timeout of
+// 1 s, and its address for callers.
 func newDrainingRouter(t *testing.T, platform string, peers []peer.Member) (*daemon.Router, string) {
 	t.Helper()
 	const token = "RWH_TEST_PEER_TOKEN"
@@ -69,7 +68,7 @@
 	return router, settings.CallerAddress
 }
 
-// freeAddress returns a loopback address that was free a moment ago.
+// freeAddress returns a loopback address whose port was free when it was checked.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,7 +77,7 @@
 	return listener.Addr().String()
 }
 
-func book(t *testing.T, d *rwhtest.Deployment, address, key string) (rwhtest.Reply, error) {
+func sendDeposit(t *testing.T, d *rwhtest.Deployment, address, key string) (rwhtest.Reply, error) {
 	t.Helper()
 	return d.Call(t.Context(), http.MethodPost, address, "/v1/services/"+rwhtest.Service+"/deposits", `{"amount":50}`,
 		map[string]string{"Idempotency-Key": key})
