--- a/caller/budget.go
+++ b/caller/budget.go
@@ -6,8 +6,8 @@
 //
 // When a zone fails, every request to it fails at first. If a router retried each
 // of them, it would double the load on the remaining groups, which would then fail
-// too. Each request therefore adds a fraction of a retry to the budget, and each
-// retry takes a whole one.
+// too. Each request therefore adds a fraction of a retry to the budget and each retry
+// takes a whole one, so that the load on endpoints grows by this percentage at most.
 type Budget struct {
 	percent int64
 	tokens  atomic.Int64 // hundredths of a retry
