--- a/caller/chat.go
+++ b/caller/chat.go
@@ -84,9 +84,9 @@
 
 // acquireBackend waits for capacity in a group of the model. It returns an error at
 // once if no group is usable.
-func (s *Server) acquireBackend(ctx context.Context, r *request, model *route.ModelView, prefix uint64) (*route.Slot, error) {
+func (s *Server) acquireBackend(ctx context.Context, r *request, model *route.ModelView, prefix uint64) (*route.Backend, error) {
 	now := time.Now()
-	if s.selector.Usable(model.Model.ID, now) == 0 {
+	if s.selector.CountUsable(model.Model.ID, now) == 0 {
 		return nil, redwinghall.NewOpError("Server.acquireBackend", redwinghall.CodeNoCapacity, nil)
 	}
 	defer func() { observe(r.series.queue, time.Since(now)) }()
@@ -95,5 +95,5 @@
 			return backend, nil
 		}
 	}
-	return model.Gate.Enter(ctx, now, r.account)
+	return model.Gate.Acquire(ctx, now, r.account)
 }
--- a/caller/fuzz_test.go
+++ b/caller/fuzz_test.go
@@ -37,10 +37,10 @@
 		f.Fatal(err)
 	}
 	store.Apply(peer.Entry{Key: peer.KeyManifest, Number: 1, Value: data})
-	board := route.NewBoard(route.BoardConfig{AvailabilityZone: "tartu", Ramp: ramp.Owned{}, Picker: route.TwoChoices{}})
-	board.Rebuild(store)
+	selector := route.NewSelector(route.SelectorConfig{AvailabilityZone: "tartu", Ramp: ramp.SingleOwner{}, Picker: route.TwoChoices{}})
+	selector.Rebuild(store)
 	keeper := claim.NewKeeper(claim.Config{}, table.New(), claim.NoTakeover{})
-	handler := caller.NewServer(caller.Config{}, board, keeper, kernel.NewGroup(context.Background())).Handler()
+	handler := caller.NewServer(caller.Config{}, selector, keeper, kernel.NewGroup(context.Background())).Handler()
 	f.Fuzz(func(t *testing.T, body string) {
 		r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(body))
 		r.Header.Set("Authorization", "Bearer "+layout.DemoKey(rwhtest.Account))
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -51,7 +51,7 @@
 	sink     sink
 	sequence *sequence
 
-	failedBackend *route.Slot
+	failedBackend *route.Backend
 	failedRouters map[string]bool // addresses of routers that failed this request
 }
 
@@ -66,7 +66,7 @@
 // target is the destination of one attempt.
 type target struct {
 	address string
-	backend *route.Slot // nil if the target is another router
+	backend *route.Backend // nil if the target is another router
 }
 
 // run makes attempts until the response is complete, the deadline passes, the retry
@@ -160,7 +160,7 @@
 			return where, nil
 		}
 	}
-	if !out && s.selector.Whole(l.model.Model.ID, time.Now()) > 0 {
+	if !out && s.selector.CountHealthy(l.model.Model.ID, time.Now()) > 0 {
 		return l.waitForGrant(ctx)
 	}
 	return target{}, redwinghall.NewOpError("relay.choose", redwinghall.CodeNoCapacity, nil)
@@ -169,14 +169,14 @@
 // waitForGrant waits for a group that is healthy but cold and to which no router may
 // send yet. Its owner requests a grant shortly.
 func (l *relay) waitForGrant(ctx context.Context) (target, error) {
-	backend, err := l.model.Gate.Enter(ctx, time.Now(), l.request.account)
+	backend, err := l.model.Gate.Acquire(ctx, time.Now(), l.request.account)
 	if err != nil {
 		return target{}, err
 	}
 	return target{address: backend.Group().Leader().Address, backend: backend}, nil
 }
 
-func (l *relay) chooseBackend(ctx context.Context, prefix uint64, attempt int) (*route.Slot, error) {
+func (l *relay) chooseBackend(ctx context.Context, prefix uint64, attempt int) (*route.Backend, error) {
 	if attempt > 0 {
 		if backend := l.server.selector.PickOther(l.model.Model.ID, time.Now(), l.failedBackend); backend != nil {
 			return backend, nil
--- a/caller/server.go
+++ b/caller/server.go
@@ -64,7 +64,7 @@
 // Server handles callers' requests.
 type Server struct {
 	config   Config
-	selector *route.Board
+	selector *route.Selector
 	keeper   *claim.Keeper
 	metrics  *Metrics
 	budget   *Budget
@@ -85,7 +85,7 @@
 // NewServer returns a server. Calls that must run at most once run in the group calls,
 // because a call that was sent continues to its outcome even if the caller
 // disconnects.
-func NewServer(config Config, selector *route.Board, keeper *claim.Keeper, calls *kernel.Group) *Server {
+func NewServer(config Config, selector *route.Selector, keeper *claim.Keeper, calls *kernel.Group) *Server {
 	config = config.WithDefaults()
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Server{
--- a/daemon/router.go
+++ b/daemon/router.go
@@ -28,7 +28,7 @@
 type Router struct {
 	settings RouterSettings
 	Node     *peer.Node
-	Selector *route.Board
+	Selector *route.Selector
 	Server   *caller.Server
 	Keeper   *claim.Keeper
 	Poller   *endpoint.Poller
@@ -55,9 +55,9 @@
 	}, s.Peers, token)
 	node.Interval = s.ExchangeInterval.Std()
 	node.HealthBound = s.AliveBound.Std()
-	selector := route.NewBoard(route.BoardConfig{
+	selector := route.NewSelector(route.SelectorConfig{
 		AvailabilityZone: s.AvailabilityZone, Router: s.ID, AliveBound: s.AliveBound.Std(),
-		Ramp: ramp.Owned{}, Picker: picker,
+		Ramp: ramp.SingleOwner{}, Picker: picker,
 	})
 	keeper := claim.NewKeeper(claim.Config{
 		Router: s.ID, WriteInterval: s.ClaimInterval.Std(),
@@ -136,16 +136,16 @@
 // groups that this router owns. Grants expire GrantTTL after now, which is before the
 // request is sent.
 func (r *Router) requestGrants(ctx context.Context, now time.Time) {
-	groups := r.Selector.WantsGrant(endpoint.RouterIDs(r.Node))
+	groups := r.Selector.OwnedColdGroups(endpoint.RouterIDs(r.Node))
 	if len(groups) == 0 {
 		return
 	}
-	granted, err := r.Node.AskGrant(ctx, groups)
+	granted, err := r.Node.RequestGrants(ctx, groups)
 	if err != nil {
 		klog.V(1).InfoS("no_grant", "cause", err.Error())
 		return
 	}
-	r.Selector.Granted(granted, now.Add(ramp.GrantTTL))
+	r.Selector.RecordGrants(granted, now.Add(ramp.GrantTTL))
 	r.Selector.Refresh(time.Now(), r.Node.Health, r.Node.Live(peer.Router))
 }
 
--- a/endpoint/poller.go
+++ b/endpoint/poller.go
@@ -64,7 +64,7 @@
 			delete(p.trackers, id)
 		}
 	}
-	p.node.Health.Forget(func(id string) bool { return known[id] })
+	p.node.Health.Retain(func(id string) bool { return known[id] })
 }
 
 func (p *Poller) tracker(g redwinghall.Group) *health.Tracker {
@@ -93,10 +93,10 @@
 		case err == nil:
 			t.Observe(i, reports[i], now)
 		case redwinghall.KindOf[Kind](err) == Refused:
-			t.Refused(now)
+			t.ObserveRefusal(now)
 		}
 	}
-	p.node.Observe(t.Word())
+	p.node.Observe(t.Health())
 }
 
 // RouterIDs returns the ids of the zone's live routers.
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -17,50 +17,50 @@
 	"redwinghall/platform"
 )
 
-// Limits of the connections to endpoints.
+// Settings of the connections to endpoints.
 const (
-	// connectTimeout is far above a round trip between zones, and short enough
-	// to try another endpoint within a strict objective.
+	// connectTimeout is far above a round trip between zones, and short enough to try
+	// another endpoint within a strict objective.
 	connectTimeout = 150 * time.Millisecond
-	// idleTimeout closes connections that are no longer needed.
+	// idleTimeout closes unused connections.
 	idleTimeout = 12 * time.Second
 	idlePerHost = 64
-	// The keep-alive probes find idle connections that went silent.
+	// TCP keep-alive probes detect idle connections whose peer no longer responds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	readBuffer        = 4 << 10
+	connBufferSize    = 4 << 10
 )
 
-// Kind says what a failed request to an endpoint means.
+// Kind classifies a failed request to an endpoint.
 type Kind string
 
 // The kinds of upstream error.
 const (
-	// NotSent: no byte of the request left this node.
+	// NotSent means that no byte of the request left this node.
 	NotSent Kind = "not_sent"
-	// Unknown: the endpoint may have run the request.
+	// Unknown means that the endpoint may have executed the request.
 	Unknown Kind = "unknown"
 )
 
 // Error is a failed request to an endpoint.
 type Error = redwinghall.OpError[Kind]
 
-var errWrongAnswer = errors.New("the answer belongs to another request")
+var errWrongResponse = errors.New("the response does not match the request")
 
-// countedConn counts what was written, to tell requests that never left.
-type countedConn struct {
+// countingConn counts the bytes written, to identify requests that were never sent.
+type countingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.written.Add(int64(n))
 	return n, err
 }
 
-// Upstream sends requests to endpoints over kept connections.
+// Upstream sends requests to endpoints over pooled connections.
 type Upstream struct {
 	transport *http.Transport
 }
@@ -77,25 +77,25 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: conn}, nil
+			return &countingConn{Conn: conn}, nil
 		},
 		MaxIdleConnsPerHost: idlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
-		ReadBufferSize:      readBuffer,
-		WriteBufferSize:     readBuffer,
+		ReadBufferSize:      connBufferSize,
+		WriteBufferSize:     connBufferSize,
 	}}
 }
 
-// Close drops all kept connections.
+// Close closes all idle connections.
 func (u *Upstream) Close() { u.transport.CloseIdleConnections() }
 
-// onceBody is a request body that the library can't rewind.
+// onceBody is a request body that net/http can't rewind.
 //
-// Guard: net/http sends a request again by itself when a kept connection
-// breaks before the answer, if the request has no body or one that can be
-// rewound. A call that may not be repeated would run twice. A body of a type
-// that the library doesn't know is never sent again.
+// net/http resends a request by itself when a reused connection breaks before the
+// response, if the request has no body or one that can be rewound. A request that
+// must not be repeated would be executed twice. net/http never resends a body whose
+// type it does not know.
 type onceBody struct {
 	data []byte
 }
@@ -111,58 +111,61 @@
 
 func (b *onceBody) Close() error { return nil }
 
-// Answer is an endpoint's answer; its body must be closed.
-type Answer struct {
-	Status  int
-	Header  http.Header
-	Body    io.ReadCloser
-	Length  int64 // -1 if the answer doesn't say
-	Verdict platform.Verdict
+// Response is an endpoint's response; its body must be closed.
+type Response struct {
+	Status int
+	Header http.Header
+	Body   io.ReadCloser
+	Length int64 // -1 if unknown
+	Info   platform.ResponseInfo
 }
 
-// Send sends one request to an endpoint, once. Ending ctx closes the connection.
-func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, forward platform.Forward) (*Answer, error) {
-	var conn *countedConn
+// Send sends one request to an endpoint, without retries. Cancelling ctx closes the
+// connection.
+func (u *Upstream) Send(ctx context.Context, to *fleet.Endpoint, in *Request, headers platform.ForwardHeaders) (*Response, error) {
+	var conn *countingConn
 	var before int64
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		if c, ok := info.Conn.(*countedConn); ok {
+		if c, ok := info.Conn.(*countingConn); ok {
 			conn, before = c, c.written.Load()
 		}
 	}})
 	out := &http.Request{
-		Method: in.Method, Host: in.Host, Header: forward.Encode(in.Header),
+		Method: in.Method, Host: in.Host, Header: headers.Encode(in.Header),
 		URL:        endpointURL(to.Address, in.Target),
 		Proto:      "HTTP/1.1",
 		ProtoMajor: 1, ProtoMinor: 1,
 		Body:          &onceBody{data: in.Body},
 		ContentLength: int64(len(in.Body)),
 	}
-	answer, err := u.transport.RoundTrip(out.WithContext(ctx))
+	response, err := u.transport.RoundTrip(out.WithContext(ctx))
 	if err != nil {
 		if conn == nil || conn.written.Load() == before {
 			return nil, redwinghall.NewOpError("Upstream.Send", NotSent, err)
 		}
 		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, err)
 	}
-	verdict := platform.DecodeVerdict(answer.StatusCode, answer.Header)
-	if verdict.RequestID != "" && verdict.RequestID != in.Ask.ID {
-		// Guard: an endpoint may send a second, late answer on a kept connection,
-		// where the next request's answer is expected. The echoed id tells.
-		_ = answer.Body.Close()
-		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, errWrongAnswer)
+	info := platform.DecodeResponseInfo(response.StatusCode, response.Header)
+	if info.RequestID != "" && info.RequestID != in.Info.ID {
+		// An endpoint may send a late second response to an earlier request on a
+		// reused connection, in place of the next request's response. The echoed
+		// request id reveals it.
+		_ = response.Body.Close()
+		return nil, redwinghall.NewOpError("Upstream.Send", Unknown, errWrongResponse)
 	}
-	return &Answer{
-		Status: answer.StatusCode, Header: answer.Header, Body: answer.Body,
-		Length: answer.ContentLength, Verdict: verdict,
+	return &Response{
+		Status: response.StatusCode, Header: response.Header, Body: response.Body,
+		Length: response.ContentLength, Info: info,
 	}, nil
 }
 
-// endpointURL keeps the caller's path and query byte for byte.
+// endpointURL returns the URL of a request at an endpoint, with the caller's path and
+// query byte for byte.
 func endpointURL(address, target string) *url.URL {
 	if !strings.HasPrefix(target, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: target}
 	}
-	// The library would take the first part of such a path for a host.
+	// net/http would take the first part of such a path for a host.
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
 		return &url.URL{Scheme: "http", Host: address, Path: target}
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -47,7 +47,7 @@
 
 // onLoads processes a load report from another node of the zone.
 func (n *Node) onLoads(now time.Time, node string, settled uint64) {
-	n.tracker.Settle(node, settled)
+	n.tracker.ReleaseReservations(node, settled)
 	if n.collectsLoads(now) {
 		n.applyLoads(now)
 	}
@@ -61,6 +61,6 @@
 
 // applyLoads updates the tracker with the other nodes' and zones' loads.
 func (n *Node) applyLoads(now time.Time) {
-	n.tracker.SetOthers(now, n.loads.SumOfOthers(now, n.settings.Node))
-	n.tracker.SetZones(now, n.loads.SumOfOtherZones(now))
+	n.tracker.SetOwnZoneLoads(now, n.loads.SumOfOthers(now, n.settings.Node))
+	n.tracker.SetOtherZoneLoads(now, n.loads.SumOfOtherZones(now))
 }
--- a/node/permit.go
+++ b/node/permit.go
@@ -15,12 +15,12 @@
 // permitIssuer obtains permits for requests to endpoints that announced a rate limit.
 type permitIssuer struct{ node *Node }
 
-var _ gateway.Lender = permitIssuer{}
+var _ gateway.PermitIssuer = permitIssuer{}
 
-// Permit implements gateway.Lender. Permits are issued by the first responsive node in
+// Permit implements gateway.PermitIssuer. Permits are issued by the first responsive node in
 // the rank order of the endpoint's zone. A node that can't reach it sends no request
 // to the endpoint.
-func (i permitIssuer) Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitWord) (balance.Permit, bool) {
+func (i permitIssuer) Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitReport) (balance.Permit, bool) {
 	n := i.node
 	peer, ok := n.backoff.FirstAvailable(time.Now(), n.permitIssuers(e.Zone))
 	switch {
@@ -45,13 +45,13 @@
 // A node that has just started knows no other nodes and would rank itself first. If all
 // nodes started together, each of them would issue permits for the whole limit. So a node
 // issues none before it knows the others.
-func (n *Node) issuePermit(now time.Time, zone string, known balance.LimitWord) balance.Permit {
+func (n *Node) issuePermit(now time.Time, zone string, known balance.LimitReport) balance.Permit {
 	share := n.permitShare(zone)
 	if share == 0 {
 		klog.InfoS("not_lent", "endpoint", known.Endpoint, "zone", zone)
 		return balance.Permit{Limit: known}
 	}
-	return n.tracker.Lend(now, known, share)
+	return n.tracker.IssuePermit(now, known, share)
 }
 
 // permitIssuers returns the nodes that may issue permits for a zone's endpoints, in rank order:
@@ -71,7 +71,7 @@
 	}
 	for place, one := range n.permitIssuers(zone) {
 		if one.Name == n.settings.Node {
-			return balance.LenderShare(place)
+			return balance.PermitShare(place)
 		}
 	}
 	return 0
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -186,7 +186,7 @@
 	w.note("%s ends for %s", e.config.ID, lasts)
 	e.endpoint.Close()
 	kernel.Sleep(ctx, lasts)
-	e.endpoint.Leave()
+	e.endpoint.Unregister()
 	w.mu.Lock()
 	for i, one := range w.endpoints {
 		if one == e {
@@ -212,7 +212,7 @@
 
 func forget(_ context.Context, w *world, _ time.Duration) error {
 	w.note("store forgets")
-	w.store.Forget()
+	w.store.DropHistory()
 	return nil
 }
 
--- a/soak/return.go
+++ b/soak/return.go
@@ -18,10 +18,10 @@
 // storeComesBackOlder lets the store come back from a copy. Operators and endpoints write
 // again what it lost; entries of endpoints that have ended since are removed for their silence.
 func storeComesBackOlder(ctx context.Context, w *world, lasts time.Duration) error {
-	kept := w.store.Copy()
+	kept := w.store.Snapshot()
 	kernel.Sleep(ctx, copyAge+lasts)
 	w.note("store comes back from a copy %s old", copyAge+lasts)
-	w.store.ComeBack(kept)
+	w.store.Restore(kept)
 	if err := w.writeAgain(); err != nil {
 		return err
 	}
@@ -29,7 +29,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range w.ended {
-		e.endpoint.Leave()
+		e.endpoint.Unregister()
 	}
 	return nil
 }
@@ -38,7 +38,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range w.endpoints {
-		if err := e.endpoint.Beat(); err != nil {
+		if err := e.endpoint.Heartbeat(); err != nil {
 			return err
 		}
 	}
--- a/soak/session.go
+++ b/soak/session.go
@@ -113,8 +113,8 @@
 	if a.kind == "look" {
 		method = http.MethodGet
 	}
-	r, err := platformtest.NewRequest(ctx, method, s.conn.node.settings.Callers, "/"+a.kind+"/x", nil, platformtest.Ask{
-		ID: a.id, Key: stableKey, Model: "m0", Patience: platformtest.RouteTimeout, Prompt: 100, Answer: a.events * longEventTokens,
+	r, err := platformtest.NewRequest(ctx, method, s.conn.node.settings.CallerAddress, "/"+a.kind+"/x", nil, platformtest.RequestInfo{
+		ID: a.id, Key: stableKey, Model: "m0", Timeout: platformtest.RouteTimeout, Prompt: 100, Answer: a.events * longEventTokens,
 	})
 	if err != nil {
 		panic(err) // all its parts are constant
