--- a/daemon/router.go
+++ b/daemon/router.go
@@ -69,7 +69,7 @@
 		MaxBodyBytes: int64(s.MaxBodyBytes), MaxRequests: s.MaxRequests,
 		DefaultTimeout: s.DefaultTimeout.Std(), MaxTimeout: s.MaxTimeout.Std(),
 		StallTimeout: s.StallTimeout.Std(), SettleTimeout: s.SettleTimeout.Std(),
-		MaxAttempts: s.MaxTries, RetryPercent: s.RetryPercent,
+		MaxAttempts: s.MaxAttempts, RetryPercent: s.RetryPercent,
 	}, selector, keeper, calls)
 	r := &Router{
 		settings: s, Node: node, Selector: selector, Server: server, Keeper: keeper,
--- a/daemon/router_settings.go
+++ b/daemon/router_settings.go
@@ -22,7 +22,7 @@
 	MaxBodyBytes   int                  `json:"max_body_bytes"`
 	MaxRequests    int                  `json:"max_requests"`
 	MaxConnections int                  `json:"max_connections"`
-	MaxTries       int                  `json:"max_tries"`
+	MaxAttempts    int                  `json:"max_tries"`
 	RetryPercent   int                  `json:"retry_percent"`
 	Picker         string               `json:"picker"`
 }
@@ -46,7 +46,7 @@
 	s.MaxBodyBytes = intOrDefault(s.MaxBodyBytes, 1<<20)
 	s.MaxRequests = intOrDefault(s.MaxRequests, 2000)
 	s.MaxConnections = intOrDefault(s.MaxConnections, 8000)
-	s.MaxTries = intOrDefault(s.MaxTries, 4)
+	s.MaxAttempts = intOrDefault(s.MaxAttempts, 4)
 	s.RetryPercent = intOrDefault(s.RetryPercent, 10)
 	if s.Picker == "" {
 		s.Picker = route.DefaultPicker
@@ -76,7 +76,7 @@
 	f = f.Between("max_body_bytes", s.MaxBodyBytes, 1024, 64<<20)
 	f = f.Between("max_requests", s.MaxRequests, 1, 1000000)
 	f = f.Between("max_connections", s.MaxConnections, 1, 1000000)
-	f = f.Between("max_tries", s.MaxTries, 1, 20)
+	f = f.Between("max_tries", s.MaxAttempts, 1, 20)
 	f = f.Between("retry_percent", s.RetryPercent, 1, 100)
 	if _, err := route.Pickers.Get(s.Picker); err != nil {
 		f = f.With("picker", "%v", err)
