--- a/caller/relay.go
+++ b/caller/relay.go
@@ -137,7 +137,8 @@
 
 // choose returns the target of the next attempt: a group of this zone; if all groups
 // of the zone are cold and this router may not send to any, the router that may; or a
-// router of another zone if this zone is out of service or has no usable group.
+// router of another zone if this zone is out of service or has no usable group. If there
+// is none of these but a healthy cold group, it waits for a grant.
 func (l *relay) choose(ctx context.Context, prefix uint64, attempt int) (target, error) {
 	s := l.server
 	out := s.selector.View().ZoneOut(s.config.AvailabilityZone)
--- a/caller/sink.go
+++ b/caller/sink.go
@@ -24,7 +24,7 @@
 	abort(code redwinghall.Code) bool
 }
 
-// newSink returns the sink for a streamed or a whole response, as requested.
+// newSink returns the sink for a streamed or a buffered response, as requested.
 func (s *Server) newSink(w http.ResponseWriter, r *request, req chatRequest) (sink, error) {
 	timer := &chunkTimer{series: r.series, last: r.started}
 	if !req.Stream {
--- a/group.go
+++ b/group.go
@@ -90,8 +90,8 @@
 	Completed uint64 // requests completed by the leader since its start
 }
 
-// Healthy reports whether every member was seen alive no longer than bound ago
-// in the group's current generation.
+// Healthy reports whether the group is ready and every member was seen alive no
+// longer than bound ago in the group's current generation.
 //
 // A replica that lost a VM sends nothing or garbage, so callers of a router that
 // relies on an outdated list see stalled responses. A member that has been silent
--- a/table.go
+++ b/table.go
@@ -37,7 +37,8 @@
 	// Scan returns the rows whose keys start with prefix, in key order.
 	Scan(ctx context.Context, prefix string) ([]Row, error)
 	// Commit executes the transaction. The kind of its error is TableConflict
-	// (nothing was written), TableUnavailable (nothing was written) or
+	// (a version was not the expected one, so nothing was written),
+	// TableUnavailable (nothing was sent, or the request was refused) or
 	// TableUnknown (the writes may have been applied, or may still be).
 	Commit(ctx context.Context, txn Txn) error
 }
--- a/tablehttp/platform.go
+++ b/tablehttp/platform.go
@@ -114,8 +114,9 @@
 }
 
 // post sends in and decodes the response into out. The kind of an error is
-// TableUnavailable if nothing was sent or the request was refused, and
-// TableUnknown if the request may have been sent.
+// TableUnavailable if nothing was sent or the request was refused,
+// TableConflict if a commit found a changed version, and otherwise TableUnknown,
+// since the request may have been executed.
 func (c *Client) post(ctx context.Context, op, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
