--- a/caller/fuzz_test.go
+++ b/caller/fuzz_test.go
@@ -20,8 +20,9 @@
 	"redwinghall/standin/table"
 )
 
-// FuzzChatBody sends any bytes as a caller's body. Whatever they are, the
-// answer is a refusal with a code of the table.
+// FuzzChatBody sends arbitrary bytes as the body of a chat request. As there are no
+// groups, the response must always be a refusal with a known code and the outcome
+// not_run.
 func FuzzChatBody(f *testing.F) {
 	f.Add(`{"model":"chain-advice","messages":[{"role":"user","content":"x"}]}`)
 	f.Add(`{"model":"chain-advice","stream":true,"messages":[null]}`)
@@ -36,10 +37,10 @@
 		f.Fatal(err)
 	}
 	store.Apply(peer.Entry{Key: peer.KeyManifest, Number: 1, Value: data})
-	board := route.NewSelector(route.SelectorConfig{AvailabilityZone: "tartu", Ramp: ramp.SingleOwner{}, Picker: route.TwoChoices{}})
-	board.Rebuild(store)
+	selector := route.NewSelector(route.SelectorConfig{AvailabilityZone: "tartu", Ramp: ramp.SingleOwner{}, Picker: route.TwoChoices{}})
+	selector.Rebuild(store)
 	keeper := claim.NewKeeper(claim.Config{}, table.New(), claim.NoTakeover{})
-	handler := caller.NewServer(caller.Config{}, board, keeper, kernel.NewGroup(context.Background())).Handler()
+	handler := caller.NewServer(caller.Config{}, selector, keeper, kernel.NewGroup(context.Background())).Handler()
 	f.Fuzz(func(t *testing.T, body string) {
 		r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(body))
 		r.Header.Set("Authorization", "Bearer "+layout.DemoKey(rwhtest.Account))
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -168,8 +168,8 @@
 func (k *Keeper) Release(a Attempt) { k.enqueue(a.Key, a.Claim.WithState(redwinghall.ClaimReleased)) }
 
 // RecordRan records the response to the attempt's call.
-func (k *Keeper) RecordRan(a Attempt, answer redwinghall.Answer) {
-	k.enqueue(a.Key, a.Claim.WithAnswer(answer))
+func (k *Keeper) RecordRan(a Attempt, answer redwinghall.Response) {
+	k.enqueue(a.Key, a.Claim.WithResponse(answer))
 }
 
 // RecordUnknown records that the attempt's call was sent and no response arrived.
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -81,7 +81,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			tracker := health.NewTracker(pair())
 			tt.polls(tracker)
-			require.Equal(t, tt.healthy, tracker.Health().Whole(pair(), tt.now, bound))
+			require.Equal(t, tt.healthy, tracker.Health().Healthy(pair(), tt.now, bound))
 		})
 	}
 }
@@ -106,7 +106,7 @@
 
 	merged, ok := cache.Get("g")
 	require.True(t, ok)
-	require.False(t, merged.Whole(pair(), now, bound))
+	require.False(t, merged.Healthy(pair(), now, bound))
 }
 
 // Guards against requests being sent to a broken replica. A member restarts and the
@@ -119,9 +119,9 @@
 	require.False(t, cache.Merge(broken), "the group was broken already")
 	cache.Merge(redwinghall.GroupHealth{Group: "g", Generation: 3, Ready: true, SeenAt: start.Add(time.Second)})
 	merged, _ := cache.Get("g")
-	require.False(t, merged.Whole(pair(), start.Add(time.Second), bound))
+	require.False(t, merged.Healthy(pair(), start.Add(time.Second), bound))
 
 	cache.Merge(redwinghall.GroupHealth{Group: "g", Generation: 4, Ready: true, SeenAt: start.Add(2 * time.Second)})
 	merged, _ = cache.Get("g")
-	require.True(t, merged.Whole(pair().WithGeneration(4), start.Add(2*time.Second), bound))
+	require.True(t, merged.Healthy(pair().WithGeneration(4), start.Add(2*time.Second), bound))
 }
--- a/measure/main.go
+++ b/measure/main.go
@@ -65,7 +65,7 @@
 		var flagErr *flags.Error
 		if errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp {
 			_, _ = fmt.Fprintln(os.Stdout, flagErr.Message)
-			return daemon.ExitDone
+			return daemon.ExitOK
 		}
 		return fail(err, daemon.ExitUsage)
 	}
@@ -78,17 +78,17 @@
 		started := time.Now()
 		series, err := m.run(o)
 		if err != nil {
-			return fail(fmt.Errorf("%s: %w", m.name, err), daemon.ExitRefused)
+			return fail(fmt.Errorf("%s: %w", m.name, err), daemon.ExitFailure)
 		}
 		if err := write(o.Out, m.name, series); err != nil {
-			return fail(err, daemon.ExitRefused)
+			return fail(err, daemon.ExitFailure)
 		}
 		_, _ = fmt.Fprintf(os.Stdout, "%s (%s)\n", m.name, time.Since(started).Round(time.Second))
 		for _, s := range series {
 			_, _ = fmt.Fprintln(os.Stdout, "  "+s.String())
 		}
 	}
-	return daemon.ExitDone
+	return daemon.ExitOK
 }
 
 func fail(err error, code int) int {
