--- a/formation/convert.go
+++ b/formation/convert.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// convertGain is the minimum gain in balanced supply for which a group is converted
-	// to another model. Smaller differences come and go with the load.
+	// convertGain is the minimum gain in balanced supply (see supply) for which a group
+	// is converted to another model. Smaller differences come and go with the load.
 	convertGain = 0.03
 	// minGroups is the minimum number of groups that a model keeps in a zone.
 	minGroups = 2
--- a/formation/fakezone_test.go
+++ b/formation/fakezone_test.go
@@ -59,10 +59,10 @@
 	notListening       bool            // it stopped listening and finishes its requests
 	ignores            fleet.OrderKind // orders of this kind are lost
 	slow               float64
-	last               string // model of its last group
+	lastModel          string // model of its last group
 	members            []string
-	highest            int64
-	gen                int
+	highestEpoch       int64
+	entryRevision      int
 	opening            bool // accepted an order to open, but isn't open yet
 }
 
@@ -119,9 +119,9 @@
 
 // publishEntry writes an endpoint's present state to its entry, visible after the lag.
 func (f *fakeZone) publishEntry(w *fakeEndpoint) {
-	w.gen++
+	w.entryRevision++
 	entry := w.Endpoint
-	entry.Revision = int64(w.gen)
+	entry.Revision = int64(w.entryRevision)
 	entry.Staged = append([]string(nil), w.Staged...)
 	entry.Models = append([]string(nil), w.Models...)
 	if w.unlisted || w.unresponsive || w.dead {
@@ -362,12 +362,12 @@
 		delete(ready, id)
 	}
 	w.StartedMillis++
-	w.Member, w.members, w.Models, w.last, w.opening = fleet.Membership{}, nil, nil, "", false
-	w.highest = 0
+	w.Member, w.members, w.Models, w.lastModel, w.opening = fleet.Membership{}, nil, nil, "", false
+	w.highestEpoch = 0
 }
 
 func (f *fakeZone) join(w *fakeEndpoint, o fleet.Order) bool {
-	if o.Epoch < w.highest {
+	if o.Epoch < w.highestEpoch {
 		return false
 	}
 	if w.Member.Group == o.Group && w.Member.Epoch == o.Epoch {
@@ -375,11 +375,11 @@
 	}
 	f.checkOldHead(w, o)
 	f.joins++
-	w.highest = o.Epoch
+	w.highestEpoch = o.Epoch
 	model, _ := f.engine.Model(o.Model)
 	took := model.Load
 	switch {
-	case w.last == o.Model:
+	case w.lastModel == o.Model:
 		took = 200 * time.Millisecond
 	case w.HasStaged(o.Model):
 		took = model.Warm
@@ -392,7 +392,7 @@
 			w.Member.Rank = rank
 		}
 	}
-	w.members, w.last = o.Members, o.Model
+	w.members, w.lastModel = o.Members, o.Model
 	w.Models = nil
 	f.publishEntry(w)
 	time.AfterFunc(took, func() {
--- a/formation/joining_test.go
+++ b/formation/joining_test.go
@@ -110,7 +110,7 @@
 	VM    int           // index of the endpoint, in the order of target
 	After time.Duration // delay since the last event
 	Lasts time.Duration
-	Share float64
+	Share float64 // share of lost orders, for faultOrders
 }
 
 func faults() *rapid.Generator[[]fault] {
@@ -334,10 +334,10 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		events := faults().Draw(rt, "events")
 		seed := rapid.Uint64().Draw(rt, "seed")
-		asked := map[string]int{"large": rapid.IntRange(0, 20).Draw(rt, "large"), "small": rapid.IntRange(0, 20).Draw(rt, "small")}
+		demand := map[string]int{"large": rapid.IntRange(0, 20).Draw(rt, "large"), "small": rapid.IntRange(0, 20).Draw(rt, "small")}
 		var violations []string
 		synctest.Test(t, func(t *testing.T) {
-			j := &scenario{t: t, settle: time.Minute, demand: asked, zone: newFakeZoneWith(pairsEngine(), seed, 3, 18), counts: seen}
+			j := &scenario{t: t, settle: time.Minute, demand: demand, zone: newFakeZoneWith(pairsEngine(), seed, 3, 18), counts: seen}
 			violations = j.run(events)
 			seen.staged.Add(int64(j.zone.staged))
 		})
--- a/formation/manager.go
+++ b/formation/manager.go
@@ -217,16 +217,16 @@
 
 // registrationSettled reports whether all endpoints of a zone have probably registered:
 // their number hasn't changed for settleTime, or maxSettleTime has passed.
-func (m *Manager) registrationSettled(now time.Time, zone string, count int) bool {
-	a, ok := m.registrations[zone]
+func (m *Manager) registrationSettled(now time.Time, zone string, endpoints int) bool {
+	r, ok := m.registrations[zone]
 	if !ok {
-		a = &registration{first: now}
-		m.registrations[zone] = a
+		r = &registration{first: now}
+		m.registrations[zone] = r
 	}
-	if a.count != count {
-		a.count, a.changed = count, now
+	if r.count != endpoints {
+		r.count, r.changed = endpoints, now
 	}
-	return count > 0 && (now.Sub(a.changed) >= settleTime || now.Sub(a.first) >= maxSettleTime)
+	return endpoints > 0 && (now.Sub(r.changed) >= settleTime || now.Sub(r.first) >= maxSettleTime)
 }
 
 const (
--- a/formation/manager_test.go
+++ b/formation/manager_test.go
@@ -73,11 +73,11 @@
 func (n *node) running(cache *directory.Cache) func(time.Time, string) int {
 	return func(_ time.Time, id string) int {
 		e, known := cache.View().Endpoints[id]
-		asked := n.demand.Load()
-		if !known || asked == nil {
+		demand := n.demand.Load()
+		if !known || demand == nil {
 			return 0
 		}
-		return (*asked)[e.Model()]
+		return (*demand)[e.Model()]
 	}
 }
 
@@ -204,7 +204,7 @@
 		for _, id := range ids {
 			old := f.workers[id]
 			old.dead, old.unresponsive = false, false
-			old.StartedMillis, old.last, old.Member, old.members, old.Models = 2, "", fleet.Membership{}, nil, nil
+			old.StartedMillis, old.lastModel, old.Member, old.members, old.Models = 2, "", fleet.Membership{}, nil, nil
 			f.publishEntry(old)
 		}
 		f.mu.Unlock()
--- a/formation/split.go
+++ b/formation/split.go
@@ -79,6 +79,8 @@
 	return best
 }
 
+// balancedSupply returns the balanced supply of the models if one domain has the given
+// group counts and the other domains have the VMs in others.
 func balancedSupply(models []fleet.Model, counts, others []int) float64 {
 	sum := 0.0
 	for i, m := range models {
