--- a/balance/attempt.go
+++ b/balance/attempt.go
@@ -30,31 +30,31 @@
 }
 
 // RecordLoad records the load that the endpoint reports.
-func (v *Attempt) RecordLoad(now time.Time, running int) {
-	v.t.mu.Lock()
-	defer v.t.mu.Unlock()
-	v.s.reported, v.s.ownAtReport, v.s.reportedAt = running, v.s.own, now
+func (a *Attempt) RecordLoad(now time.Time, running int) {
+	a.t.mu.Lock()
+	defer a.t.mu.Unlock()
+	a.s.reported, a.s.ownAtReport, a.s.reportedAt = running, a.s.own, now
 }
 
 // RecordEvent records an event of a stream. predictedPause returns the pause between
 // events that Pace predicts.
-func (v *Attempt) RecordEvent(now time.Time, predictedPause func(running int) time.Duration) {
-	v.t.mu.Lock()
-	defer v.t.mu.Unlock()
-	s := v.s
-	if v.started && predictedPause != nil {
+func (a *Attempt) RecordEvent(now time.Time, predictedPause func(running int) time.Duration) {
+	a.t.mu.Lock()
+	defer a.t.mu.Unlock()
+	s := a.s
+	if a.started && predictedPause != nil {
 		if expectedPause := predictedPause(s.running(now)); expectedPause > 0 {
-			s.recordPause(float64(now.Sub(v.last)) / float64(expectedPause))
+			s.recordPause(float64(now.Sub(a.last)) / float64(expectedPause))
 		}
 	}
-	if !v.started && predictedPause != nil && v.queued == 0 {
-		v.t.updateBias(now.Sub(v.sentAt) - v.predicted)
+	if !a.started && predictedPause != nil && a.queued == 0 {
+		a.t.updateBias(now.Sub(a.sentAt) - a.predicted)
 	}
-	if v.first.IsZero() {
-		v.first = now
+	if a.first.IsZero() {
+		a.first = now
 	}
-	v.start()
-	v.last = now
+	a.start()
+	a.last = now
 	s.lastEvent, s.waitingSince = now, now
 	s.backoff, s.backoffUntil = 0, time.Time{}
 }
@@ -84,61 +84,61 @@
 	t.bias = min(max(t.bias, minBias), maxBias)
 }
 
-func (v *Attempt) start() {
-	if v.started {
+func (a *Attempt) start() {
+	if a.started {
 		return
 	}
-	v.started = true
-	v.s.unstarted--
-	v.s.unread -= v.prompt
+	a.started = true
+	a.s.unstarted--
+	a.s.unread -= a.prompt
 }
 
 // finish removes the request from the endpoint's counts. The lock is held.
-func (v *Attempt) finish() {
-	v.start()
-	v.s.own--
-	if v.s.own == 0 {
-		v.s.waitingSince = time.Time{}
+func (a *Attempt) finish() {
+	a.start()
+	a.s.own--
+	if a.s.own == 0 {
+		a.s.waitingSince = time.Time{}
 	}
 }
 
 // Cancel ends an attempt whose request was not sent.
-func (v *Attempt) Cancel() {
-	v.t.mu.Lock()
-	defer v.t.mu.Unlock()
-	v.finish()
+func (a *Attempt) Cancel() {
+	a.t.mu.Lock()
+	defer a.t.mu.Unlock()
+	a.finish()
 }
 
 // Done ends the attempt. ok reports whether the request succeeded.
-func (v *Attempt) Done(now time.Time, ok bool) {
-	v.t.mu.Lock()
-	defer v.t.mu.Unlock()
-	s := v.s
-	v.finish()
+func (a *Attempt) Done(now time.Time, ok bool) {
+	a.t.mu.Lock()
+	defer a.t.mu.Unlock()
+	s := a.s
+	a.finish()
 	failed := 1.0
 	if ok {
 		failed = 0
-		s.latency += time.Duration(smoothing * float64(v.responseTime(now)-s.latency))
+		s.latency += time.Duration(smoothing * float64(a.responseTime(now)-s.latency))
 	}
 	s.failures += smoothing * (failed - s.failures)
 }
 
 // responseTime is the time to the first event of a stream, or to the answer if
 // there was no event.
-func (v *Attempt) responseTime(now time.Time) time.Duration {
-	if v.first.IsZero() {
-		return now.Sub(v.sentAt)
+func (a *Attempt) responseTime(now time.Time) time.Duration {
+	if a.first.IsZero() {
+		return now.Sub(a.sentAt)
 	}
-	return v.first.Sub(v.sentAt)
+	return a.first.Sub(a.sentAt)
 }
 
 // TimeWithoutEvent returns how long this node has been waiting for an event of any
 // of its streams at the endpoint.
-func (v *Attempt) TimeWithoutEvent(now time.Time) time.Duration {
-	v.t.mu.Lock()
-	defer v.t.mu.Unlock()
-	if v.s.waitingSince.IsZero() {
+func (a *Attempt) TimeWithoutEvent(now time.Time) time.Duration {
+	a.t.mu.Lock()
+	defer a.t.mu.Unlock()
+	if a.s.waitingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(v.s.waitingSince)
+	return now.Sub(a.s.waitingSince)
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -121,14 +121,14 @@
 			for i := range nodes {
 				tracker := balance.NewTracker()
 				for ms := range 2000 {
-					a := newRequest()
-					a.Service.ColdPerSecond, a.Objective, a.Node = 36, time.Hour, strconv.Itoa(i)
-					a.ColdRateOwnZone, a.ColdRateOtherZones = 0.75*0.75*perSecond/float64(zone), 0.75*0.25*perSecond/float64(nodes-zone)
+					request := newRequest()
+					request.Service.ColdPerSecond, request.Objective, request.Node = 36, time.Hour, strconv.Itoa(i)
+					request.ColdRateOwnZone, request.ColdRateOtherZones = 0.75*0.75*perSecond/float64(zone), 0.75*0.25*perSecond/float64(nodes-zone)
 					if i >= zone {
-						a.Zone = "b"
+						request.Zone = "b"
 					}
 					at := time.Duration(ms) * time.Millisecond
-					if choice, refusal := tracker.ChooseGroup(start.Add(at), []*fleet.Endpoint{cold}, nil, a); refusal == nil {
+					if choice, refusal := tracker.ChooseGroup(start.Add(at), []*fleet.Endpoint{cold}, nil, request); refusal == nil {
 						sentAt = append(sentAt, at)
 						choice.Attempt.Done(start.Add(at), true)
 					}
@@ -164,9 +164,9 @@
 	for range nodes {
 		tracker := balance.NewTracker()
 		for range 8 {
-			a := newRequest()
-			a.Nodes, a.ZoneNodes = nodes, 2
-			if _, refusal := tracker.ChooseGroup(start, []*fleet.Endpoint{opened}, nil, a); refusal == nil {
+			request := newRequest()
+			request.Nodes, request.ZoneNodes = nodes, 2
+			if _, refusal := tracker.ChooseGroup(start, []*fleet.Endpoint{opened}, nil, request); refusal == nil {
 				prompts++
 			}
 		}
@@ -222,11 +222,11 @@
 		return &fleet.Endpoint{ID: id, Service: "desk", Zone: zone, State: fleet.EndpointReady, Slots: 6}
 	}
 	all := []*fleet.Endpoint{plain("bad", "a"), plain("good", "b")}
-	a := balance.Request{Service: fleet.Service{Name: "desk"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
+	request := balance.Request{Service: fleet.Service{Name: "desk"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
 	counts := map[string]int{}
 	now := start
 	for range 100 {
-		choice, refusal := tracker.ChoosePlain(now, all, nil, a)
+		choice, refusal := tracker.ChoosePlain(now, all, nil, request)
 		require.Nil(t, refusal)
 		counts[choice.Endpoint.ID]++
 		now = now.Add(60 * time.Millisecond)
@@ -240,10 +240,10 @@
 func TestLongStreamsOfAPlainServiceAreNoOverload(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{{ID: "feed", Service: "feed", Zone: "a", State: fleet.EndpointReady, Slots: 6}}
-	a := balance.Request{Service: fleet.Service{Name: "feed"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
+	request := balance.Request{Service: fleet.Service{Name: "feed"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
 	now := start
 	for range 50 {
-		choice, refusal := tracker.ChoosePlain(now, all, nil, a)
+		choice, refusal := tracker.ChoosePlain(now, all, nil, request)
 		require.Nil(t, refusal)
 		choice.Attempt.RecordEvent(now.Add(50*time.Millisecond), nil)
 		now = now.Add(5 * time.Second)
@@ -313,11 +313,11 @@
 		require.Nil(t, refusal)
 		return choice.Expected
 	}
-	short := expected(false, func(a *balance.Request) { a.Answer = 60 })
-	long := expected(false, func(a *balance.Request) { a.Answer = 600 })
+	short := expected(false, func(request *balance.Request) { request.Answer = 60 })
+	long := expected(false, func(request *balance.Request) { request.Answer = 600 })
 	require.Greater(t, short, 10*newRequest().Service.Engine.Step*6)
 	require.Greater(t, long, 9*short/2)
-	require.Greater(t, expected(true, func(a *balance.Request) { a.Answer = 600 }), 2*long)
+	require.Greater(t, expected(true, func(request *balance.Request) { request.Answer = 600 }), 2*long)
 	require.Zero(t, expected(false, func(*balance.Request) {}), "the number of tokens is unknown")
 
 	desk := &fleet.Endpoint{ID: "desk", Service: "desk", Zone: "a", State: fleet.EndpointReady, Slots: 4}
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -158,7 +158,7 @@
 	queued    time.Duration // the part of predicted spent waiting for a slot
 	running   int
 	score     time.Duration
-	full      bool
+	full      bool // this node may open no further connection there
 }
 
 // ChooseGroup chooses the group for a stream, or returns the reason why there is
--- a/balance/failure_reports.go
+++ b/balance/failure_reports.go
@@ -26,8 +26,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.state(id, now)
-	s.failureReports = slices.DeleteFunc(s.failureReports, func(c failureReport) bool {
-		return c.node == node || now.Sub(c.at) >= failureReportTTL
+	s.failureReports = slices.DeleteFunc(s.failureReports, func(r failureReport) bool {
+		return r.node == node || now.Sub(r.at) >= failureReportTTL
 	})
 	s.failureReports = append(s.failureReports, failureReport{node: node, at: now})
 	if len(s.failureReports) < failureReportsNeeded {
--- a/balance/limit.go
+++ b/balance/limit.go
@@ -110,15 +110,15 @@
 //
 // Answers may arrive out of order. An answer without a limit ends a limit only if
 // its request ran and was sent after the limit was named.
-func (v *Attempt) RecordLimit(now time.Time, limit fleet.RateLimit, ran bool) (before fleet.RateLimit, changed bool) {
-	v.t.mu.Lock()
-	defer v.t.mu.Unlock()
-	l := &v.s.limit
+func (a *Attempt) RecordLimit(now time.Time, limit fleet.RateLimit, ran bool) (before fleet.RateLimit, changed bool) {
+	a.t.mu.Lock()
+	defer a.t.mu.Unlock()
+	l := &a.s.limit
 	before = l.limit
-	if !limit.Named && (!before.Named || !ran || v.sentAt.Before(l.namedAt)) {
+	if !limit.Named && (!before.Named || !ran || a.sentAt.Before(l.namedAt)) {
 		return before, false
 	}
-	v.t.anyLimit = true
+	a.t.anyLimit = true
 	l.receivedAt = now
 	return before, l.set(now, now, limit)
 }
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -121,9 +121,9 @@
 	return simulation{
 		nodes: nodes, groups: count, perSecond: perSecond, length: time.Minute,
 		choose: func(now time.Time, node, prompt int) (int, *balance.Attempt) {
-			a := newRequest()
-			a.Prompt, a.Nodes, a.ZoneNodes = prompt, nodes, nodes
-			choice, refusal := trackers[node].ChooseGroup(now, heads, nil, a)
+			request := newRequest()
+			request.Prompt, request.Nodes, request.ZoneNodes = prompt, nodes, nodes
+			choice, refusal := trackers[node].ChooseGroup(now, heads, nil, request)
 			if refusal != nil {
 				return -1, nil
 			}
--- a/balance/retry_time.go
+++ b/balance/retry_time.go
@@ -6,13 +6,13 @@
 )
 
 // retrySpread is the window over which retries are spread, in residence times of a
-// request. It is above 1 because new requests take part of the slots that get free.
+// request. It is above 1 because new requests take part of the slots that become free.
 const retrySpread = 2
 
 // retryWhenFull returns after what time a caller refused by full groups should
 // retry, at least wait.
 //
-// The occupied slots get free over the residence time of a request. If all callers
+// The occupied slots become free over the residence time of a request. If all callers
 // got the same short retry time, they would find the same groups full, be refused
 // again and give up. So retries are spread at random over that time.
 func (r Request) retryWhenFull(wait time.Duration) time.Duration {
