--- a/formation/fakezone_test.go
+++ b/formation/fakezone_test.go
@@ -23,14 +23,15 @@
 	workers       map[string]*fakeEndpoint
 	ready         map[string]map[string]bool // endpoints that were ever ready, by group
 	violations    []string                   // violated invariants
-	doubleMembers []string                   // those in which a VM was in two groups
+	doubleMembers []string                   // violations in which a VM was in two groups
 	joins         int                        // accepted join orders
 	left          int                        // accepted leave orders
 	loads         int
 	reports       int   // requested reports
 	leases        int64 // acquired leases
 	random        *rand.Rand
-	// lossRate is the share of orders that get no answer and are carried out late.
+	// lossRate is the share of orders that get no answer and are carried out 2 to 12 s
+	// later.
 	lossRate float64
 	// repeatRate is the share of orders that are carried out a second time, late.
 	repeatRate float64
@@ -58,10 +59,10 @@
 	notListening       bool            // it stopped listening and finishes its requests
 	ignores            fleet.OrderKind // orders of this kind are lost
 	slow               float64
-	last               string // model of its last group
+	lastModel          string // model of its last group
 	members            []string
-	highest            int64
-	gen                int
+	highestEpoch       int64
+	entryRevision      int
 	opening            bool // accepted an order to open, but isn't open yet
 }
 
@@ -118,9 +119,9 @@
 
 // publishEntry writes an endpoint's present state to its entry, visible after the lag.
 func (f *fakeZone) publishEntry(w *fakeEndpoint) {
-	w.gen++
+	w.entryRevision++
 	entry := w.Endpoint
-	entry.Revision = int64(w.gen)
+	entry.Revision = int64(w.entryRevision)
 	entry.Staged = append([]string(nil), w.Staged...)
 	entry.Models = append([]string(nil), w.Models...)
 	if w.unlisted || w.unresponsive || w.dead {
@@ -149,7 +150,7 @@
 type follower struct {
 	cache *directory.Cache
 	due   time.Time // when the last change in flight arrives
-	// extraLag is the delay on top of a lease holder's.
+	// extraLag is the delay in addition to that of a lease holder's copy.
 	extraLag time.Duration
 }
 
@@ -336,8 +337,8 @@
 	return true
 }
 
-// replace ends an endpoint whose address then times out; later another one starts at
-// that address.
+// replace ends an endpoint. Its address times out, and 5 s later another endpoint starts
+// at that address.
 func (f *fakeZone) replace(id, by string) {
 	f.kill(id, true)
 	time.AfterFunc(5*time.Second, func() {
@@ -361,12 +362,12 @@
 		delete(ready, id)
 	}
 	w.StartedMillis++
-	w.Member, w.members, w.Models, w.last, w.opening = fleet.Membership{}, nil, nil, "", false
-	w.highest = 0
+	w.Member, w.members, w.Models, w.lastModel, w.opening = fleet.Membership{}, nil, nil, "", false
+	w.highestEpoch = 0
 }
 
 func (f *fakeZone) join(w *fakeEndpoint, o fleet.Order) bool {
-	if o.Epoch < w.highest {
+	if o.Epoch < w.highestEpoch {
 		return false
 	}
 	if w.Member.Group == o.Group && w.Member.Epoch == o.Epoch {
@@ -374,11 +375,11 @@
 	}
 	f.checkOldHead(w, o)
 	f.joins++
-	w.highest = o.Epoch
+	w.highestEpoch = o.Epoch
 	model, _ := f.engine.Model(o.Model)
 	took := model.Load
 	switch {
-	case w.last == o.Model:
+	case w.lastModel == o.Model:
 		took = 200 * time.Millisecond
 	case w.HasStaged(o.Model):
 		took = model.Warm
@@ -391,7 +392,7 @@
 			w.Member.Rank = rank
 		}
 	}
-	w.members, w.last = o.Members, o.Model
+	w.members, w.lastModel = o.Members, o.Model
 	w.Models = nil
 	f.publishEntry(w)
 	time.AfterFunc(took, func() {
