--- a/formation/group.go
+++ b/formation/group.go
@@ -6,42 +6,44 @@
 	"redwinghall/fleet"
 )
 
-// group is the members of one group that were seen.
+// group holds the members of one group that the zone's workers include.
 type group struct {
-	name    string
-	epoch   int64
-	model   fleet.Model
-	known   bool
-	standby bool
-	byRank  map[int]*Worker
+	name       string
+	epoch      int64
+	model      fleet.Model
+	modelKnown bool
+	standby    bool
+	byRank     map[int]*Worker
 }
 
 func (g *group) head() *Worker { return g.byRank[0] }
 
-// reached reports whether the head is there and answers, as far as known.
-func (g *group) reached() bool {
+// headReachable reports whether the group has a head that is neither suspect nor silent.
+func (g *group) headReachable() bool {
 	head := g.head()
 	return head != nil && !head.Suspect && !head.Silent
 }
 
-// standing returns how the group's members stand to it.
-func (g *group) standing(z *Zone) Standing {
-	s := Standing{Standby: g.standby, Past: z.Past(g.name)}
+// evidence returns the evidence on whether the group still serves. The caller sets the
+// fields that differ between members.
+func (g *group) evidence(z *Zone) Evidence {
+	e := Evidence{Standby: g.standby, History: z.History(g.name)}
 	if head := g.head(); head != nil {
-		s.Head, s.HeadSince = head.Endpoint.Member, head.ShownAt
+		e.Head, e.HeadSince = head.Endpoint.Member, head.ReportedAt
 	}
-	return s
+	return e
 }
 
-// whole reports whether every member is there, and usable.
-func (g *group) whole() bool {
+// complete reports whether every member is present and usable, and the group's model is
+// configured.
+func (g *group) complete() bool {
 	for rank := range g.size() {
 		w := g.byRank[rank]
 		if w == nil || !w.usable() {
 			return false
 		}
 	}
-	return g.known
+	return g.modelKnown
 }
 
 func (g *group) size() int {
@@ -51,9 +53,9 @@
 	return g.model.Size
 }
 
-// lost reports whether a member is gone or doesn't answer, as against one that
-// only says that it leaves.
-func (g *group) lost() bool {
+// hasLostMember reports whether a member is gone or doesn't answer. A member that only
+// announced that it is leaving doesn't count.
+func (g *group) hasLostMember() bool {
 	for rank := range g.size() {
 		if w := g.byRank[rank]; w == nil || w.Suspect || w.Silent {
 			return true
@@ -62,18 +64,18 @@
 	return false
 }
 
-// onlySilent reports whether all that is wrong is that members without an
-// entry don't answer this node.
+// onlySilent reports whether the only problem is that members without a directory entry
+// don't answer this node.
 func (g *group) onlySilent() bool {
 	for rank := range g.size() {
 		if w := g.byRank[rank]; w == nil || w.Suspect || (!w.Silent && !w.usable()) {
 			return false
 		}
 	}
-	return g.known
+	return g.modelKnown
 }
 
-// endpoints returns the members of a whole group in the order of their ranks.
+// endpoints returns the members of a complete group in rank order.
 func (g *group) endpoints() []*fleet.Endpoint {
 	all := make([]*fleet.Endpoint, 0, g.size())
 	for rank := range g.size() {
@@ -82,7 +84,7 @@
 	return all
 }
 
-// slow reports whether a member holds the whole group up.
+// slow reports whether a member slows down the whole group.
 func (g *group) slow() bool {
 	for _, w := range g.byRank {
 		if w.Slow {
@@ -92,7 +94,7 @@
 	return false
 }
 
-// unfit counts the members that hold the group up or are about to leave it.
+// unfit counts the members that are slow or about to leave the group.
 func (g *group) unfit() int {
 	n := 0
 	for _, w := range g.byRank {
@@ -103,7 +105,7 @@
 	return n
 }
 
-// leaving counts the members that said that they leave.
+// leaving counts the members that announced that they are leaving.
 func (g *group) leaving() int {
 	n := 0
 	for _, w := range g.byRank {
@@ -114,7 +116,7 @@
 	return n
 }
 
-// ready reports whether every member itself said that it is ready, under this
+// ready reports whether every member's own entry shows it as ready under the group's
 // name and epoch.
 func (g *group) ready() bool {
 	for rank := range g.size() {
@@ -126,7 +128,7 @@
 	return true
 }
 
-// groups gathers workers by the group that they belong to, in order of name.
+// groups collects the workers by group, sorted by group name.
 func (z *Zone) groups() []*group {
 	byName := map[string]*group{}
 	for _, w := range z.Workers {
@@ -137,7 +139,7 @@
 		if !ok {
 			name, standby := parseName(w.Member.Group)
 			model, known := z.Engine.Model(name)
-			g = &group{name: w.Member.Group, epoch: w.Member.Epoch, model: model, known: known, standby: standby, byRank: map[int]*Worker{}}
+			g = &group{name: w.Member.Group, epoch: w.Member.Epoch, model: model, modelKnown: known, standby: standby, byRank: map[int]*Worker{}}
 			byName[g.name] = g
 		}
 		if w.Member.Epoch > g.epoch {
--- a/formation/pending_test.go
+++ b/formation/pending_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An empty VM takes a model in, which lasts for seconds, and meanwhile the node that forms
-// groups called the store four times a second for news of it. It does so only while
-// a group forms or ends.
+// A node whose manager is pending polls the store four times a second for changes. It
+// should do so only while a group forms or ends, not while a standby loads a model,
+// which takes seconds.
 func TestStandbyThatLoadsIsNotPending(t *testing.T) {
-	play(t, func(t *testing.T, f *farm, n *node) {
+	runDefault(t, func(t *testing.T, f *fakeZone, n *node) {
 		time.Sleep(3 * time.Second)
 		require.False(t, n.manager.Pending())
 		loads := f.loads
--- a/formation/reconcile.go
+++ b/formation/reconcile.go
@@ -4,101 +4,103 @@
 	"redwinghall/fleet"
 )
 
-// reconcile looks at one group: it opens one that is ready, ends one that lost
-// a member, and sets the members free of one that serves nobody.
+// reconcile decides what happens to one group: it queues a ready group for opening,
+// closes one that lost a member, and frees the members of one that doesn't serve.
 func (p *planner) reconcile(g *group) {
 	switch {
 	case g.standby:
 		p.release(g)
-	case !g.reached():
+	case !g.headReachable():
 		p.release(g)
 	case g.head().Member.State == fleet.Open && g.head().Unlisted:
-		p.give(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch}, "head_unlisted")
+		p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch}, "head_unlisted")
 	case g.head().Member.State == fleet.Open:
-		p.opened(g)
+		p.reconcileOpen(g)
 	case g.head().Member.State == fleet.Closing:
-		p.closing(g)
-	case g.head().Member.State == fleet.Broken || !g.whole() || g.head().Unlisted:
+		p.reconcileClosing(g)
+	case g.head().Member.State == fleet.Broken || !g.complete() || g.head().Unlisted:
 		p.release(g)
-	case p.zone.Past(g.name).Parted:
-		// An order that takes a member away may still be carried out: a group
-		// that opened again would lose it while it serves.
+	case p.zone.History(g.name).MembersRemoved:
+		// An order that removes a member may still be carried out: a group opened again
+		// now would lose that member while it serves.
 		p.release(g)
-	case g.ready() && !p.zone.Past(g.name).Own:
-		// An earlier holder's orders may still be carried out, under higher
-		// epochs than this group's. A group of our own outlasts them.
+	case g.ready() && !p.zone.History(g.name).FormedHere:
+		// An earlier holder's orders may still be carried out, with higher epochs than
+		// this group's. A group formed by this holder has a higher epoch than any of
+		// them.
 		p.release(g)
 	case g.ready():
-		p.idle = append(p.idle, g)
+		p.openable = append(p.openable, g)
 	default:
-		p.joining(g)
+		p.reconcileJoining(g)
 	}
 }
 
-func (p *planner) count(g *group) { p.serving[g.model.Name] += g.model.Size }
+func (p *planner) countServing(g *group) { p.serving[g.model.Name] += g.model.Size }
 
-// opened looks at a group that serves.
+// reconcileOpen handles a group that is open.
 //
-// Guard: a group that lost a member goes on accepting requests, and nothing
-// moves. It is closed at once, so that its callers go elsewhere and its other
-// members are of use again.
-func (p *planner) opened(g *group) {
+// A group that lost a member keeps accepting requests although nothing progresses. It
+// is closed at once, so that its callers are sent elsewhere and its other members can
+// be reused.
+func (p *planner) reconcileOpen(g *group) {
 	switch {
-	case g.whole():
-		p.count(g)
-		p.serves = append(p.serves, g)
+	case g.complete():
+		p.countServing(g)
+		p.openGroups = append(p.openGroups, g)
 		if g.slow() {
 			p.draining = append(p.draining, g)
 		}
-	case g.onlySilent() && p.zone.Moves(g.head().Endpoint.ID):
-		// Members that are cut off from here and from the store may still serve
-		// with the others: what the streams show goes first.
-		p.count(g)
-	case g.lost() || !g.known:
-		p.give(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "member_lost")
+	case g.onlySilent() && p.zone.Progressing(g.head().Endpoint.ID):
+		// Members that neither this node nor the store reaches may still serve with the
+		// others: the progress of the streams takes precedence.
+		p.countServing(g)
+	case g.hasLostMember() || !g.modelKnown:
+		p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "member_lost")
 	default:
-		p.count(g)
+		p.countServing(g)
 		p.draining = append(p.draining, g)
 	}
 }
 
-func (p *planner) closing(g *group) {
+func (p *planner) reconcileClosing(g *group) {
 	since := p.now.Sub(g.head().ChangedAt)
-	patience := stuckClosing
-	if g.whole() && g.unfit() == 0 {
-		p.closings = append(p.closings, g)
-		patience = patientClosing
+	timeout := closeTimeout
+	if g.complete() && g.unfit() == 0 {
+		p.closingGroups = append(p.closingGroups, g)
+		timeout = gracefulCloseTimeout
 	}
-	if g.lost() || since > patience {
-		p.give(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "closing_takes_long")
+	if g.hasLostMember() || since > timeout {
+		p.issue(g.head(), fleet.Order{Kind: fleet.OrderClose, Group: g.name, Epoch: g.epoch, Cancel: true}, "closing_takes_long")
 	}
 }
 
-// joining waits for members, and gives the order again to those that show no
-// sign of it.
-func (p *planner) joining(g *group) {
-	if p.muted(g) {
+// reconcileJoining waits for members to join, and repeats the order to those whose
+// entry doesn't show the membership.
+func (p *planner) reconcileJoining(g *group) {
+	if p.excludeStaleMembers(g) {
 		p.release(g)
 		return
 	}
-	p.count(g)
+	p.countServing(g)
 	members := g.members()
 	for rank := range g.size() {
 		w := g.byRank[rank]
 		shown := w.Endpoint.Member.Group == g.name && w.Endpoint.Member.Epoch == g.epoch
 		if !shown && members != nil {
-			p.give(w, fleet.Order{Kind: fleet.OrderJoin, Group: g.name, Epoch: g.epoch, Model: g.model.Name, Members: members}, "join_again")
+			p.issue(w, fleet.Order{Kind: fleet.OrderJoin, Group: g.name, Epoch: g.epoch, Model: g.model.Name, Members: members}, "join_again")
 		}
 	}
 }
 
-// muted reports whether a member's entry doesn't show that it joined, although
-// the entries of most others do, and leaves that member out for a while.
+// excludeStaleMembers reports whether some members' entries don't show that they joined
+// although those of most others do, and keeps these members out of groups for
+// suspectDuration.
 //
-// Guard: an endpoint that is cut off from the store, and from nothing else,
-// takes the order, and its entry stays as it was until it lapses.
-// The group waits for it, and those of its members that are fit serve nobody.
-func (p *planner) muted(g *group) bool {
+// An endpoint that is partitioned from the store, but from nothing else, accepts the
+// order, and its entry stays unchanged until it expires. The group would wait for it,
+// and its healthy members would stay idle.
+func (p *planner) excludeStaleMembers(g *group) bool {
 	var late []*Worker
 	shown := 0
 	for rank := range g.size() {
@@ -106,21 +108,21 @@
 		switch {
 		case w.Endpoint.Member.Group == g.name && w.Endpoint.Member.Epoch == g.epoch:
 			shown++
-		case p.now.Sub(w.ChangedAt) > entryLate:
+		case p.now.Sub(w.ChangedAt) > entryLagLimit:
 			late = append(late, w)
 		}
 	}
 	if len(late) == 0 || 2*shown < g.size() {
-		return false // where most are late, the store is slow
+		return false // if most are late, the store is slow
 	}
 	for _, w := range late {
-		w.Mute = p.now.Add(suspectFor)
+		w.StaleEntryUntil = p.now.Add(suspectDuration)
 		w.Suspect = true
 	}
 	return true
 }
 
-// members returns the ids of a whole group in the order of their ranks.
+// members returns the ids of a complete group's members in rank order.
 func (g *group) members() []string {
 	ids := make([]string, 0, g.size())
 	for rank := range g.size() {
@@ -133,40 +135,40 @@
 	return ids
 }
 
-// release takes a group apart that serves nobody, or whose head can't be
-// reached. Members that are proven to be free may join another one; the others
-// are told to leave, and are free once they have said that they did.
+// release dissolves a group that doesn't serve or whose head can't be reached. Members
+// that are proven to be free may join another group; the others are ordered to leave
+// and are free once they have confirmed it.
 //
-// Guard: an order to open that got no answer may be carried out seconds later.
-// If the members had joined other groups by then, the head would accept
-// requests that nobody works on. So the head leaves first where it is reached:
-// its word frees all others at once.
+// An order to open that got no answer may be carried out seconds later. If the members
+// had joined other groups by then, the head would accept requests that make no progress.
+// So a reachable head is ordered to leave first: its confirmation frees all others at
+// once.
 func (p *planner) release(g *group) {
-	standing := g.standing(p.zone)
-	if p.ended(g, standing) || !g.reached() {
-		p.releaseMembers(g, standing)
+	evidence := g.evidence(p.zone)
+	if p.provenEnded(g, evidence) || !g.headReachable() {
+		p.releaseMembers(g, evidence)
 		return
 	}
-	p.give(g.head(), fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "may_open_late")
+	p.issue(g.head(), fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "may_open_late")
 }
 
-func (p *planner) releaseMembers(g *group, standing Standing) {
+func (p *planner) releaseMembers(g *group, evidence Evidence) {
 	for _, w := range g.byRank {
 		if !w.usable() {
 			continue
 		}
-		if !p.setFree(w, standing) {
-			p.give(w, fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "head_unreachable")
+		if !p.freeWorker(w, evidence) {
+			p.issue(w, fleet.Order{Kind: fleet.OrderLeave, Group: g.name, Epoch: g.epoch}, "head_unreachable")
 			continue
 		}
-		if g.standby && w.Member.State == fleet.Joining && p.now.Sub(w.ChangedAt) < 2*g.model.Load+stuckJoining {
+		if g.standby && w.Member.State == fleet.Joining && p.now.Sub(w.ChangedAt) < 2*g.model.Load+joinGrace {
 			w.loading = g.model.Name
 		}
 	}
 }
 
-// ended reports whether a group is proven to serve no longer.
-func (p *planner) ended(g *group, standing Standing) bool {
-	standing.Member = fleet.Membership{Group: g.name, Epoch: g.epoch}
-	return standing.Proof(p.now) != Unproven
+// provenEnded reports whether a group is proven not to serve any more.
+func (p *planner) provenEnded(g *group, evidence Evidence) bool {
+	evidence.Member = fleet.Membership{Group: g.name, Epoch: g.epoch}
+	return evidence.Proof(p.now) != Unproven
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -23,38 +23,38 @@
 	"redwinghall/platform/platformtest"
 )
 
-// site is a gateway before stand-in endpoints, over real connections.
-type site struct {
+// fixture is a gateway in front of fake endpoints, over real connections.
+type fixture struct {
 	t       testing.TB
-	book    *directory.Cache
+	cache   *directory.Cache
 	server  *httptest.Server
 	tracker *balance.Tracker
 	config  *fleet.Configuration
-	placer  placer
-	// stop is the planned stop that is under way; it is set before requests come.
+	placer  fakePlacer
+	// stop is the current planned stop. It must be set before requests are sent.
 	stop gateway.Stop
-	// shares is the gateway's part of what all nodes share. Like settings, it is set before
-	// requests come.
+	// shares are the node counts. Like settings, they must be set before requests are
+	// sent.
 	shares   gateway.Shares
 	settings fleet.Settings
 }
 
-// placer is what other zones say when they are asked.
-type placer struct {
-	offers map[string]string // endpoints, by zone; a zone without one gives no answer
+// fakePlacer holds the replies of other zones.
+type fakePlacer struct {
+	offers map[string]string // endpoint ids by zone; a zone that is missing does not respond
 	asked  []string
-	// elsewhere is the zone that the dispatcher names where it has no room.
-	elsewhere string
-	// dispatched says that another node chooses for this zone.
-	dispatched bool
+	// alternativeZone is the zone that the dispatcher names if it has no capacity.
+	alternativeZone string
+	// hasDispatcher is true if another node chooses groups for this zone.
+	hasDispatcher bool
 }
 
-func (p *placer) Dispatched(time.Time) bool { return p.dispatched }
+func (p *fakePlacer) HasDispatcher(time.Time) bool { return p.hasDispatcher }
 
-func (p *placer) Place(_ context.Context, zone string, _ fleet.PlacementRequest) (fleet.Placement, bool) {
+func (p *fakePlacer) Place(_ context.Context, zone string, _ fleet.PlacementRequest) (fleet.Placement, bool) {
 	p.asked = append(p.asked, zone)
 	id, ok := p.offers[zone]
-	return fleet.Placement{Endpoint: id, Predicted: 100 * time.Millisecond, AlternativeZone: p.elsewhere}, ok
+	return fleet.Placement{Endpoint: id, Predicted: 100 * time.Millisecond, AlternativeZone: p.alternativeZone}, ok
 }
 
 func engine() *fleet.Engine {
@@ -89,21 +89,22 @@
 	}
 }
 
-func newSite(t testing.TB) *site {
+func newFixture(t testing.TB) *fixture {
 	t.Helper()
-	s := newUnconfigured(t)
-	s.book.Apply(time.Now(), directory.Change{Config: s.config})
+	s := newUnconfiguredFixture(t)
+	s.cache.Apply(time.Now(), directory.Change{Config: s.config})
 	return s
 }
 
-// newUnconfigured returns a site whose gateway has just started and has read nothing.
-func newUnconfigured(t testing.TB) *site {
+// newUnconfiguredFixture returns a fixture whose gateway has just started and has
+// read nothing.
+func newUnconfiguredFixture(t testing.TB) *fixture {
 	t.Helper()
-	s := &site{t: t, book: directory.NewCache(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
+	s := &fixture{t: t, cache: directory.NewCache(), tracker: balance.NewTracker(), config: configuration(), shares: gateway.Shares{Nodes: 1, Zone: 1}}
 	s.settings = fleet.Settings{Zone: "a", Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 100}}
 	g := gateway.New(gateway.Options{
-		Settings: func() fleet.Settings { return s.settings }, Book: s.book, Tracker: s.tracker, Upstream: gateway.NewUpstream(),
-		Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return s.shares }, Stalled: func(string) {},
+		Settings: func() fleet.Settings { return s.settings }, Cache: s.cache, Tracker: s.tracker, Upstream: gateway.NewUpstream(),
+		Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return s.shares }, ReportStall: func(string) {},
 		Placer: &s.placer, Stopping: func() gateway.Stop { return s.stop },
 	})
 	s.server = httptest.NewServer(g)
@@ -111,8 +112,8 @@
 	return s
 }
 
-// endpoint adds a stand-in endpoint of a service.
-func (s *site) endpoint(id, service string, handler http.HandlerFunc) *httptest.Server {
+// endpoint adds a fake endpoint of a service.
+func (s *fixture) endpoint(id, service string, handler http.HandlerFunc) *httptest.Server {
 	s.t.Helper()
 	server := httptest.NewServer(handler)
 	s.t.Cleanup(func() {
@@ -123,54 +124,54 @@
 	return server
 }
 
-func (s *site) register(id, service, address string) { s.registerIn("a", id, service, address, 0) }
+func (s *fixture) register(id, service, address string) { s.registerIn("a", id, service, address, 0) }
 
-func (s *site) registerIn(zone, id, service, address string, cold time.Duration) {
+func (s *fixture) registerIn(zone, id, service, address string, cold time.Duration) {
 	e := &fleet.Endpoint{ID: id, Service: service, Address: address, Zone: zone, Cold: cold, SeenAt: time.Now(), State: fleet.EndpointReady, Slots: 6}
 	if service == "llm" {
 		e.Models = []string{"m0"}
 		e.Member = fleet.Membership{Group: "g-" + id, Epoch: 1, State: fleet.Open}
 	}
-	s.book.Apply(time.Now(), directory.Change{Endpoint: e})
+	s.cache.Apply(time.Now(), directory.Change{Endpoint: e})
 }
 
-func (s *site) request(method, path string) *http.Request {
+func (s *fixture) request(method, path string) *http.Request {
 	s.t.Helper()
 	var body io.Reader
 	if method == http.MethodPost {
 		body = strings.NewReader("amount=50")
 	}
-	r, err := platformtest.NewRequest(context.Background(), method, s.server.Listener.Addr().String(), path, body, platformtest.Ask{
-		ID: "r-1", Key: "key-1", Model: "m0", Patience: 3 * time.Second, Prompt: 100, Answer: 50,
+	r, err := platformtest.NewRequest(context.Background(), method, s.server.Listener.Addr().String(), path, body, platformtest.RequestInfo{
+		ID: "r-1", Key: "key-1", Model: "m0", Timeout: 3 * time.Second, Prompt: 100, Answer: 50,
 	})
 	require.NoError(s.t, err)
 	return r
 }
 
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
-	err    error // while the body was read
+	err    error // from reading the body
 }
 
-func (s *site) do(r *http.Request) answer {
+func (s *fixture) do(r *http.Request) response {
 	s.t.Helper()
 	out, err := http.DefaultTransport.RoundTrip(r)
 	require.NoError(s.t, err)
 	defer func() { require.NoError(s.t, out.Body.Close()) }()
 	body, err := io.ReadAll(out.Body)
-	return answer{status: out.StatusCode, header: out.Header, body: string(body), err: err}
+	return response{status: out.StatusCode, header: out.Header, body: string(body), err: err}
 }
 
-// sign marks an answer as the endpoint's own.
+// sign adds the echoed request id and the endpoint's signature to a response.
 func sign(w http.ResponseWriter, r *http.Request) {
-	platformtest.Sign(w, platformtest.Read(r).ID, "sig")
+	platformtest.Sign(w, platformtest.ReadHeaders(r).ID, "sig")
 }
 
-func events(w http.ResponseWriter, from, to int) {
+func writeEvents(w http.ResponseWriter, from, to int) {
 	for i := from; i <= to; i++ {
-		_, _ = fmt.Fprintf(w, "id: %d\ndata: word %d\n\n", i, i) // the reader tells what came
+		_, _ = fmt.Fprintf(w, "id: %d\ndata: word %d\n\n", i, i) // the reader checks what it received
 		w.(http.Flusher).Flush()
 	}
 }
@@ -183,18 +184,18 @@
 	return b.String()
 }
 
-func TestPassesRequestsAndAnswers(t *testing.T) {
-	s := newSite(t)
+func TestForwardsRequestsAndResponses(t *testing.T) {
+	s := newFixture(t)
 	var seen *http.Request
 	var body string
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 		seen = r.Clone(context.Background())
-		data, _ := io.ReadAll(r.Body) // a short body is a failed comparison
+		data, _ := io.ReadAll(r.Body) // a short body fails the comparison below
 		body = string(data)
 		sign(w, r)
 		w.Header().Set("X-Own", "1")
 		w.WriteHeader(http.StatusCreated)
-		_, _ = w.Write([]byte("booked")) // the reader tells what came
+		_, _ = w.Write([]byte("booked")) // the reader checks what it received
 	})
 	got := s.do(s.request(http.MethodPost, "/book/a%2Fb?x=1&y=%20"))
 	require.Equal(t, http.StatusCreated, got.status)
@@ -204,22 +205,22 @@
 	require.Equal(t, "/book/a%2Fb?x=1&y=%20", seen.RequestURI)
 	require.Equal(t, "a.example", seen.Host)
 	require.Equal(t, "amount=50", body)
-	require.Equal(t, platformtest.Received{ID: "r-1", Account: "depot", Endpoint: "e1"}, platformtest.Read(seen))
+	require.Equal(t, platformtest.ReceivedHeaders{ID: "r-1", Account: "depot", Endpoint: "e1"}, platformtest.ReadHeaders(seen))
 	require.Empty(t, seen.Header.Get("Authorization"))
 }
 
 func TestRefusals(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	unknown := s.request(http.MethodGet, "/look/")
 	unknown.Header.Set("Authorization", "Bearer other")
-	elsewhere := s.request(http.MethodGet, "/nowhere/")
+	alternativeZone := s.request(http.MethodGet, "/nowhere/")
 	for name, c := range map[string]struct {
 		request *http.Request
 		status  int
 		wait    bool
 	}{
 		"unknown key":           {unknown, http.StatusUnauthorized, false},
-		"no route":              {elsewhere, http.StatusNotFound, false},
+		"no route":              {alternativeZone, http.StatusNotFound, false},
 		"no endpoint":           {s.request(http.MethodGet, "/look/"), http.StatusServiceUnavailable, true},
 		"no group of the model": {s.request(http.MethodPost, "/stream/"), http.StatusServiceUnavailable, true},
 	} {
@@ -232,12 +233,12 @@
 	}
 }
 
-// A node that has just started turns callers away for good: it answers 404 or
-// 401 although it only doesn't know the configuration yet.
-func TestUnknownConfigurationIsNoDenial(t *testing.T) {
-	s := newSite(t)
+// A node that has just started and does not know the configuration yet must answer
+// 503 with Retry-After. A 404 or 401 would make callers give up for good.
+func TestUnknownConfigurationReturns503(t *testing.T) {
+	s := newFixture(t)
 	g := gateway.New(gateway.Options{
-		Settings: func() fleet.Settings { return fleet.Settings{} }, Book: directory.NewCache(), Tracker: balance.NewTracker(),
+		Settings: func() fleet.Settings { return fleet.Settings{} }, Cache: directory.NewCache(), Tracker: balance.NewTracker(),
 		Upstream: gateway.NewUpstream(), Metrics: gateway.NewMetrics(), Shares: func() gateway.Shares { return gateway.Shares{} },
 	})
 	w := httptest.NewRecorder()
@@ -248,16 +249,17 @@
 	require.NotEmpty(t, w.Header().Get("Retry-After"))
 }
 
-// A haulier is charged twice: the connection to the desk breaks after the
-// booking ran, and the library or this node sends it again. An unsafe request
-// goes out once, whatever its method, and its caller hears that nothing is known.
+// An unsafe request must be sent only once, whatever its method, and its caller must
+// get 502, as the outcome is unknown. Otherwise, if the connection breaks after the
+// endpoint has executed the request, net/http or the gateway sends it again, and a
+// booking is charged twice.
 func TestUnsafeRequestIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
 		t.Run(method, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			var runs atomic.Int32
 			broken := func(w http.ResponseWriter, r *http.Request) {
-				if platformtest.Read(r).ID == "warm" {
+				if platformtest.ReadHeaders(r).ID == "warm" {
 					sign(w, r)
 					return
 				}
@@ -265,7 +267,7 @@
 				panic(http.ErrAbortHandler)
 			}
 			s.endpoint("e1", "desk", broken)
-			warm := s.request(method, "/book2/") // leaves a kept connection behind
+			warm := s.request(method, "/book2/") // leaves an idle connection in the pool
 			warm.Header.Set("Request-Id", "warm")
 			require.Equal(t, http.StatusOK, s.do(warm).status)
 			s.endpoint("e2", "desk", broken)
@@ -276,10 +278,10 @@
 	}
 }
 
-// An endpoint that is gone refuses the connection: nothing was sent, so that
-// also a booking goes on to the next one.
-func TestRefusedConnectionGoesOn(t *testing.T) {
-	s := newSite(t)
+// An endpoint that is gone refuses the connection. Nothing was sent, so even an
+// unsafe request goes on to the next endpoint.
+func TestRefusedConnectionTriesNextEndpoint(t *testing.T) {
+	s := newFixture(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s.register("gone", "desk", listener.Addr().String())
@@ -290,9 +292,9 @@
 	}
 }
 
-// A caller is told 503, which says that its booking has not run, although the
-// endpoint that sent it promised nothing of the kind.
-func TestOnlyAPromiseIsPassedOnAsOne(t *testing.T) {
+// A 503 tells the caller that its request was not executed, so the gateway must
+// forward it only if the endpoint guaranteed that.
+func TestNotRunStatusNeedsEndpointGuarantee(t *testing.T) {
 	for name, c := range map[string]struct {
 		notRun bool
 		want   int
@@ -301,11 +303,11 @@
 		"silent":   {false, http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
-				platformtest.Echo(w, platformtest.Read(r).ID)
+				platformtest.SetRequestID(w, platformtest.ReadHeaders(r).ID)
 				if c.notRun {
-					platformtest.PromiseNotRun(w)
+					platformtest.SetNotExecuted(w)
 				}
 				w.WriteHeader(http.StatusServiceUnavailable)
 			})
@@ -314,30 +316,30 @@
 	}
 }
 
-// A late second answer of an earlier request comes where the next one is
-// expected. Its caller must not get it.
-func TestAnswerOfAnotherRequestIsNotPassedOn(t *testing.T) {
-	s := newSite(t)
+// A late second response to an earlier request may arrive where the response to the
+// next one is expected. The caller of the next request must not get it.
+func TestResponseToAnotherRequestIsNotForwarded(t *testing.T) {
+	s := newFixture(t)
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, _ *http.Request) {
 		platformtest.Sign(w, "r-0", "sig")
-		_, _ = w.Write([]byte("somebody else's")) // the reader tells what came
+		_, _ = w.Write([]byte("somebody else's")) // the reader checks what it received
 	})
 	got := s.do(s.request(http.MethodPost, "/book/"))
 	require.Equal(t, http.StatusBadGateway, got.status)
 	require.NotContains(t, got.body, "somebody")
 }
 
-func TestUnsignedSuccessIsNotPassedOn(t *testing.T) {
-	s := newSite(t)
+func TestUnsignedSuccessIsNotForwarded(t *testing.T) {
+	s := newFixture(t)
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
-		platformtest.Echo(w, platformtest.Read(r).ID)
-		_, _ = w.Write([]byte("?")) // the reader tells what came
+		platformtest.SetRequestID(w, platformtest.ReadHeaders(r).ID)
+		_, _ = w.Write([]byte("?")) // the reader checks what it received
 	})
 	require.Equal(t, http.StatusBadGateway, s.do(s.request(http.MethodPost, "/book/")).status)
 }
 
-func TestSafeRequestIsTriedAgain(t *testing.T) {
-	s := newSite(t)
+func TestSafeRequestIsRetried(t *testing.T) {
+	s := newFixture(t)
 	var first atomic.Bool
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
@@ -345,7 +347,7 @@
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		_, _ = w.Write([]byte("three left")) // the reader tells what came
+		_, _ = w.Write([]byte("three left")) // the reader checks what it received
 	}
 	s.endpoint("e1", "desk", handler)
 	s.endpoint("e2", "desk", handler)
@@ -354,30 +356,30 @@
 	require.Equal(t, "three left", got.body)
 }
 
-// A road crew loses its guidance in the middle: the group breaks off, inside
-// an event. The stream goes on at another group after the last whole event,
-// and the caller sees one answer with each event once.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// A group fails during a stream, between events or inside one. The stream must resume
+// at another group after the last complete event, and the caller must get each event
+// exactly once.
+func TestStreamResumesAtAnotherGroup(t *testing.T) {
 	for name, breakOff := range map[string]func(http.ResponseWriter){
 		"between events":  func(http.ResponseWriter) {},
 		"inside an event": func(w http.ResponseWriter) { _, _ = w.Write([]byte("id: 4\nda")); w.(http.Flusher).Flush() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			var mu sync.Mutex
 			var lasts []string
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				sign(w, r)
 				mu.Lock()
-				lasts = append(lasts, platformtest.Read(r).LastEvent)
+				lasts = append(lasts, platformtest.ReadHeaders(r).LastEvent)
 				attempt := len(lasts)
 				mu.Unlock()
 				if attempt == 1 {
-					events(w, 1, 3)
+					writeEvents(w, 1, 3)
 					breakOff(w)
 					panic(http.ErrAbortHandler)
 				}
-				events(w, 3, 6) // one event again, which the caller already has
+				writeEvents(w, 3, 6) // repeats event 3, which the caller already has
 			}
 			s.endpoint("e1", "llm", handler)
 			s.endpoint("e2", "llm", handler)
@@ -389,12 +391,12 @@
 	}
 }
 
-// A stream that nobody can finish must not look complete.
+// A stream that no group can complete must not look complete.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 2)
+		writeEvents(w, 1, 2)
 		panic(http.ErrAbortHandler)
 	}
 	s.endpoint("e1", "llm", handler)
@@ -403,22 +405,22 @@
 	require.Error(t, got.err)
 }
 
-// A group that lost a member accepts requests, and nothing moves. Its callers
-// wait until they leave. After a while without any event the stream goes on at
-// another group.
-func TestStalledGroupIsLeft(t *testing.T) {
-	s := newSite(t)
+// A group that lost a member accepts requests but makes no progress. After the stall
+// timeout the stream must resume at another group, or its caller waits until it gives
+// up.
+func TestStalledStreamResumesAtAnotherGroup(t *testing.T) {
+	s := newFixture(t)
 	release := make(chan struct{})
 	defer close(release)
 	var stalledFirst atomic.Bool
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
 		if stalledFirst.CompareAndSwap(false, true) {
-			events(w, 1, 2)
+			writeEvents(w, 1, 2)
 			<-release
 			return
 		}
-		events(w, 3, 4)
+		writeEvents(w, 3, 4)
 	}
 	s.endpoint("e1", "llm", handler)
 	s.endpoint("e2", "llm", handler)
@@ -427,27 +429,26 @@
 	require.Equal(t, wholeStream(4), got.body)
 }
 
-// An answer is ended only because it is slow, although nobody else can finish
-// it: a slow answer is worth more than none.
-func TestSlowStreamIsNotEndedWithoutAnAlternative(t *testing.T) {
-	s := newSite(t)
+// A slow response must not be cancelled if no other endpoint can continue it.
+func TestSlowStreamIsNotCancelledWithoutAnAlternative(t *testing.T) {
+	s := newFixture(t)
 	s.endpoint("e1", "llm", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 		time.Sleep(1500 * time.Millisecond)
-		events(w, 2, 2)
+		writeEvents(w, 2, 2)
 	})
 	got := s.do(s.request(http.MethodPost, "/stream/"))
 	require.NoError(t, got.err)
 	require.Equal(t, wholeStream(2), got.body)
 }
 
-// Two groups refuse a stream as not run: the caller is told so, and not that
-// the outcome is unknown.
-func TestTwoRefusalsAreARefusal(t *testing.T) {
-	s := newSite(t)
+// Two groups reject a stream without executing it. The caller must get 503, not a
+// response that says that the outcome is unknown.
+func TestStreamRejectedByTwoGroupsReturns503(t *testing.T) {
+	s := newFixture(t)
 	busy := func(w http.ResponseWriter, r *http.Request) {
-		platformtest.Echo(w, platformtest.Read(r).ID)
+		platformtest.SetRequestID(w, platformtest.ReadHeaders(r).ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}
 	s.endpoint("e1", "llm", busy)
@@ -457,13 +458,14 @@
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 }
 
-// The caller leaves, and the endpoint works on for nobody.
-func TestCallerLeaves(t *testing.T) {
-	s := newSite(t)
+// When the caller disconnects, the connection to the endpoint must be closed, so that
+// the endpoint stops working on the request.
+func TestCallerDisconnectClosesEndpointConnection(t *testing.T) {
+	s := newFixture(t)
 	left := make(chan struct{})
 	s.endpoint("e1", "llm", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 		<-r.Context().Done()
 		close(left)
 	})
@@ -473,18 +475,18 @@
 	_, err = bufio.NewReader(out.Body).ReadString('\n')
 	require.NoError(t, err)
 	cancel()
-	_ = out.Body.Close() // it may have ended already
+	_ = out.Body.Close() // it may have been closed already
 	select {
 	case <-left:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the endpoint's connection stayed open")
+		t.Fatal("the connection to the endpoint stayed open")
 	}
 }
 
-// The route's timeout passes while the endpoint is silent. The caller gets a
-// final answer then, and not when the endpoint has had enough.
-func TestRouteTimeoutEndsTheWait(t *testing.T) {
-	s := newSite(t)
+// The route's timeout expires while the endpoint is silent. The caller must get 504
+// then, and not wait for the endpoint.
+func TestRouteTimeout(t *testing.T) {
+	s := newFixture(t)
 	s.config.Routes[1].Timeout = 100 * time.Millisecond
 	release := make(chan struct{})
 	defer close(release)
@@ -494,22 +496,22 @@
 }
 
 func TestBodyOverTheLimit(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	s.config.Limits.BodyBytes = 4
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) { sign(w, r) })
 	require.Equal(t, http.StatusRequestEntityTooLarge, s.do(s.request(http.MethodPost, "/book/")).status)
 }
 
-// An answer that is too large to be kept must still arrive whole, and one that
-// breaks off must not look complete.
-func TestLargeAnswer(t *testing.T) {
+// A response that is too large to be buffered must still arrive complete, and a
+// truncated one must not look complete.
+func TestLargeResponse(t *testing.T) {
 	const size = 3 << 20
 	for name, breaks := range map[string]bool{"whole": false, "broken off": true} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 				sign(w, r)
-				_, _ = w.Write(make([]byte, size)) // the reader tells what came
+				_, _ = w.Write(make([]byte, size)) // the reader checks what it received
 				if breaks {
 					w.(http.Flusher).Flush()
 					panic(http.ErrAbortHandler)
@@ -524,19 +526,20 @@
 	}
 }
 
-// Events of a plain service arrive one by one, and not when the last is there.
+// Events of a plain service must be forwarded one by one, not only once the last has
+// arrived.
 func TestPlainServiceStreams(t *testing.T) {
-	s := newSite(t)
+	s := newFixture(t)
 	next := make(chan struct{})
 	s.endpoint("e1", "desk", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 		<-next
-		events(w, 2, 2)
+		writeEvents(w, 2, 2)
 	})
 	out, err := http.DefaultTransport.RoundTrip(s.request(http.MethodPost, "/feed/"))
 	require.NoError(t, err)
-	defer func() { _ = out.Body.Close() }() // it is read whole
+	defer func() { _ = out.Body.Close() }() // it is read completely
 	reader := bufio.NewReader(out.Body)
 	line, err := reader.ReadString('\n')
 	require.NoError(t, err)
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -10,57 +10,63 @@
 	"redwinghall/fleet"
 )
 
-// maxPermitAsks bounds how many endpoints with a limit are asked about for one try: each
-// takes a way to the node that lends for it.
-const maxPermitAsks = 4
+// maxPermitRequests bounds how many rate-limited endpoints a permit is requested for
+// in one attempt: each request costs a round trip to the node that issues permits for
+// the endpoint.
+const maxPermitRequests = 4
 
-// wholeLimit is the part of a limit that the only node there is lends to itself.
-const wholeLimit = 1
+// fullLimitShare is the share of a rate limit that a node issues permits from if it
+// is the only one.
+const fullLimitShare = 1
 
-// Lender gives permits for endpoints that named a limit.
-type Lender interface {
-	// Permit asks for one request to an endpoint. ok is false if nobody gave an answer.
+// PermitIssuer issues permits for endpoints that announced a rate limit.
+type PermitIssuer interface {
+	// Permit requests a permit for one request to an endpoint. ok is false if no node
+	// responded.
 	Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitReport) (permit balance.Permit, ok bool)
 }
 
-// withinLimits makes a choice until one is found that its endpoint's limit allows for.
+// withinLimits repeats the choice of an endpoint until the rate limit of the chosen
+// one allows the request.
 //
-// Guard: a limit bounds the sum over all nodes, and none knows what the others send. If
-// each kept to it alone, an endpoint in need would get it as many times as there are
-// nodes. So one node counts for all, and what it doesn't lend goes elsewhere.
+// A rate limit bounds the sum over all nodes, and no node knows what the others send.
+// If each node enforced it alone, an overloaded endpoint would get the limit once per
+// node. So one node issues the permits for all, and requests without a permit go
+// elsewhere.
 func (g *Gateway) withinLimits(ctx context.Context, r *Request, choose func(now time.Time) (balance.Choice, *balance.Refusal)) (balance.Choice, *balance.Refusal) {
-	var none *balance.Refusal
-	for range maxPermitAsks {
+	var refused *balance.Refusal
+	for range maxPermitRequests {
 		var choice balance.Choice
-		choice, none = choose(time.Now())
-		if none != nil {
-			return choice, none
+		choice, refused = choose(time.Now())
+		if refused != nil {
+			return choice, refused
 		}
 		if choice.Permitted {
 			return choice, nil
 		}
-		permit, ok := g.permit(ctx, choice)
+		permit, ok := g.requestPermit(ctx, choice)
 		if permit.Given {
 			return choice.WithPermit(true), nil
 		}
 		choice.Attempt.Cancel()
-		klog.InfoS("not_permitted", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID, "answered", ok, "wait", permit.Wait,
+		klog.InfoS("not_permitted", "request", r.Info.ID, "endpoint", choice.Endpoint.ID, "answered", ok, "wait", permit.Wait,
 			"per_second", permit.Limit.Limit.PerSecond, "limit_age", permit.Limit.Age)
 		g.Metrics.NotPermitted()
-		none = balance.LimitedRefusal(permit.Wait)
+		refused = balance.LimitedRefusal(permit.Wait)
 	}
-	return balance.Choice{}, none
+	return balance.Choice{}, refused
 }
 
-// permit asks for a permit and takes in what the answer tells.
-func (g *Gateway) permit(ctx context.Context, choice balance.Choice) (balance.Permit, bool) {
+// requestPermit requests a permit and records the rate limit and wait time of the
+// reply.
+func (g *Gateway) requestPermit(ctx context.Context, choice balance.Choice) (balance.Permit, bool) {
 	id := choice.Endpoint.ID
 	known := g.Tracker.Limit(time.Now(), id)
 	permit, ok := balance.Permit{}, true
-	if g.Lender == nil {
-		permit = g.Tracker.IssuePermit(time.Now(), known, wholeLimit)
+	if g.PermitIssuer == nil {
+		permit = g.Tracker.IssuePermit(time.Now(), known, fullLimitShare)
 	} else {
-		permit, ok = g.Lender.Permit(ctx, choice.Endpoint, known)
+		permit, ok = g.PermitIssuer.Permit(ctx, choice.Endpoint, known)
 	}
 	now := time.Now()
 	if ok {
@@ -72,18 +78,18 @@
 	return permit, ok
 }
 
-// noteLimit takes in what an answer says of its endpoint's limit.
-func (g *Gateway) noteLimit(r *Request, choice balance.Choice, answer *Answer) {
-	if answer.Verdict.LimitUnreadable {
-		klog.InfoS("limit_unreadable", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID)
+// recordLimit records the rate limit that a response announces for its endpoint.
+func (g *Gateway) recordLimit(r *Request, choice balance.Choice, response *Response) {
+	if response.Info.LimitUnreadable {
+		klog.InfoS("limit_unreadable", "request", r.Info.ID, "endpoint", choice.Endpoint.ID)
 		return
 	}
-	limit := answer.Verdict.Limit
-	before, changed := choice.Attempt.RecordLimit(time.Now(), limit, !answer.Verdict.NotRun)
+	limit := response.Info.Limit
+	before, changed := choice.Attempt.RecordLimit(time.Now(), limit, !response.Info.NotRun)
 	if !changed {
 		return
 	}
-	klog.InfoS("limit_named", "request", r.Ask.ID, "endpoint", choice.Endpoint.ID, "named", limit.Named, "per_second", limit.PerSecond,
-		"named_before", before.Named, "per_second_before", before.PerSecond, "status", answer.Status, "running", choice.Running)
+	klog.InfoS("limit_named", "request", r.Info.ID, "endpoint", choice.Endpoint.ID, "named", limit.Named, "per_second", limit.PerSecond,
+		"named_before", before.Named, "per_second_before", before.PerSecond, "status", response.Status, "running", choice.Running)
 	g.Metrics.LimitChanged(limit.Named)
 }
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -9,38 +9,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// far adds a stand-in group of another zone, which stays cold for a while.
-func (s *site) far(zone, id string, cold time.Duration) {
+// remoteGroup adds a fake group of another zone, which stays cold for the given time.
+func (s *fixture) remoteGroup(zone, id string, cold time.Duration) {
 	s.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Served-By", id)
 		sign(w, r)
-		events(w, 1, 3)
+		writeEvents(w, 1, 3)
 	}))
 	s.t.Cleanup(server.Close)
 	s.registerIn(zone, id, "llm", server.Listener.Addr().String(), cold)
 }
 
-// The nearest zone with a group is cut off, or has no room, or would rather
-// use another of its groups: the caller gets its answer in each case, from
-// where it is served, and is refused only when no zone has room.
-func TestStreamAsksTheOtherZone(t *testing.T) {
+// The nearest zone with a group does not respond, has no capacity, or prefers another
+// of its groups. The caller must be served in each case, and refused only if no zone
+// has capacity.
+func TestStreamAsksOtherZones(t *testing.T) {
 	for name, c := range map[string]struct {
 		offers map[string]string
 		status int
 		served []string
 	}{
 		"its choice is taken":      {map[string]string{"b": "b2", "c": "c1"}, 200, []string{"b2", "c1"}},
-		"no answer":                {map[string]string{}, 200, []string{"b1", "b2", "c1"}},
+		"no reply":                 {map[string]string{}, 200, []string{"b1", "b2", "c1"}},
 		"an endpoint unknown here": {map[string]string{"b": "b9", "c": "c9"}, 200, []string{"b1", "b2", "c1"}},
 		"one zone is full":         {map[string]string{"b": "", "c": "c1"}, 200, []string{"c1"}},
 		"all zones are full":       {map[string]string{"b": "", "c": ""}, 503, []string{""}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
-			s.far("b", "b1", 0)
-			s.far("b", "b2", 0)
-			s.far("c", "c1", 0)
+			s := newFixture(t)
+			s.remoteGroup("b", "b1", 0)
+			s.remoteGroup("b", "b2", 0)
+			s.remoteGroup("c", "c1", 0)
 			s.placer.offers = c.offers
 			got := s.do(s.request(http.MethodPost, "/stream/x"))
 			require.Equal(t, c.status, got.status)
@@ -53,20 +53,20 @@
 	}
 }
 
-// The nearest zone is cut off and gives no answer: the stream goes to one that does, and
-// to the silent one only where no other takes it.
-func TestStreamGoesToZonesThatAnswer(t *testing.T) {
+// If the nearest zone does not respond, the stream must go to a zone that does, and
+// to the silent one only if no other zone accepts it.
+func TestStreamPrefersZonesThatRespond(t *testing.T) {
 	for name, c := range map[string]struct {
 		offers map[string]string
 		served string
 	}{
-		"another zone answers": {map[string]string{"c": "c1"}, "c1"},
-		"another zone is full": {map[string]string{"c": ""}, "b1"},
+		"another zone responds": {map[string]string{"c": "c1"}, "c1"},
+		"another zone is full":  {map[string]string{"c": ""}, "b1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
-			s.far("b", "b1", 0)
-			s.far("c", "c1", 0)
+			s := newFixture(t)
+			s.remoteGroup("b", "b1", 0)
+			s.remoteGroup("c", "c1", 0)
 			s.placer.offers = c.offers
 			for range 8 {
 				got := s.do(s.request(http.MethodPost, "/stream/x"))
@@ -77,16 +77,16 @@
 	}
 }
 
-// A group turned cold, and the zone that chose it doesn't know that yet. What
-// all nodes may send to a cold group is shared out, and this stream has no part
-// in it: more than the group bears would make it fall over.
-func TestStreamGoesToNoGroupThatTurnedCold(t *testing.T) {
-	s := newSite(t)
+// A zone offers a group that has become cold, as it does not know that yet. The
+// request budget of cold groups is divided among the nodes, and a stream sent there
+// would exceed this node's share and could overload the group.
+func TestStreamAvoidsGroupThatTurnedCold(t *testing.T) {
+	s := newFixture(t)
 	service := s.config.Services["llm"]
 	service.ColdPerSecond = 1
 	s.config.Services["llm"] = service
-	s.far("b", "warm", 0)
-	s.far("b", "cold", time.Hour)
+	s.remoteGroup("b", "warm", 0)
+	s.remoteGroup("b", "cold", time.Hour)
 	s.placer.offers = map[string]string{"b": "cold"}
 	for range 5 {
 		got := s.do(s.request(http.MethodPost, "/stream/x"))
@@ -95,41 +95,41 @@
 	}
 }
 
-// A stream that stays in its zone asks nobody: that would cost each caller the
-// way to another node and back.
-func TestStreamOfTheOwnZoneAsksNobody(t *testing.T) {
-	s := newSite(t)
+// A stream that stays in its zone must not ask another zone, as that would cost each
+// caller a round trip to another node.
+func TestLocalStreamAsksNoOtherZone(t *testing.T) {
+	s := newFixture(t)
 	s.endpoint("near", "llm", func(w http.ResponseWriter, r *http.Request) {
 		sign(w, r)
-		events(w, 1, 3)
+		writeEvents(w, 1, 3)
 	})
-	s.far("b", "b1", 0)
+	s.remoteGroup("b", "b1", 0)
 	require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, "/stream/x")).status)
 	require.Empty(t, s.placer.asked)
 }
 
-// The dispatcher of a large zone chooses for a stream, has no room for it, or gives
-// no answer: the caller is served where it chose, by the zone that it names, or by what this
-// node knows itself.
+// The dispatcher of a large zone chooses a group, has no capacity, or does not
+// respond. The caller must be served by the chosen group, by the zone that the
+// dispatcher names, or by the choice of this node.
 func TestStreamAsksItsDispatcher(t *testing.T) {
 	for name, c := range map[string]struct {
-		offers    map[string]string
-		elsewhere string
-		served    []string
-		asked     []string
+		offers          map[string]string
+		alternativeZone string
+		served          []string
+		asked           []string
 	}{
-		"it chooses":                       {map[string]string{"a": "a2"}, "", []string{"a2"}, []string{"a"}},
-		"it has no room, another zone has": {map[string]string{"a": "", "b": "", "c": "c1"}, "c", []string{"c1"}, []string{"a", "c"}},
-		"it gives no answer":               {map[string]string{}, "", []string{"a1", "a2"}, []string{"a"}},
-		"it is out of date":                {map[string]string{"a": "gone"}, "", []string{"a1", "a2"}, []string{"a"}},
+		"it chooses":                           {map[string]string{"a": "a2"}, "", []string{"a2"}, []string{"a"}},
+		"it has no capacity, another zone has": {map[string]string{"a": "", "b": "", "c": "c1"}, "c", []string{"c1"}, []string{"a", "c"}},
+		"it does not respond":                  {map[string]string{}, "", []string{"a1", "a2"}, []string{"a"}},
+		"it is out of date":                    {map[string]string{"a": "gone"}, "", []string{"a1", "a2"}, []string{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
-			s.far("a", "a1", 0)
-			s.far("a", "a2", 0)
-			s.far("b", "b1", 0)
-			s.far("c", "c1", 0)
-			s.placer.dispatched, s.placer.offers, s.placer.elsewhere = true, c.offers, c.elsewhere
+			s := newFixture(t)
+			s.remoteGroup("a", "a1", 0)
+			s.remoteGroup("a", "a2", 0)
+			s.remoteGroup("b", "b1", 0)
+			s.remoteGroup("c", "c1", 0)
+			s.placer.hasDispatcher, s.placer.offers, s.placer.alternativeZone = true, c.offers, c.alternativeZone
 			got := s.do(s.request(http.MethodPost, "/stream/x"))
 			require.Equal(t, http.StatusOK, got.status)
 			require.Contains(t, c.served, got.header.Get("Served-By"))
@@ -138,13 +138,13 @@
 	}
 }
 
-// All zones are full: the caller is refused at once, without a question to each of them, and
-// told when to come back.
-func TestStreamIsRefusedWhereNoZoneHasRoom(t *testing.T) {
-	s := newSite(t)
-	s.far("a", "a1", 0)
-	s.far("b", "b1", 0)
-	s.placer.dispatched, s.placer.offers = true, map[string]string{"a": "", "b": "b1"}
+// If all zones are full, the caller must be refused at once with a Retry-After,
+// without a request to each zone.
+func TestStreamIsRefusedIfNoZoneHasCapacity(t *testing.T) {
+	s := newFixture(t)
+	s.remoteGroup("a", "a1", 0)
+	s.remoteGroup("b", "b1", 0)
+	s.placer.hasDispatcher, s.placer.offers = true, map[string]string{"a": "", "b": "b1"}
 	got := s.do(s.request(http.MethodPost, "/stream/x"))
 	require.Equal(t, []string{"a"}, s.placer.asked)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -38,7 +38,7 @@
 // deployZones starts the given number of nodes in each zone and waits until all of them serve.
 func deployZones(t *testing.T, nodes map[string]int) *zonedDeployment {
 	t.Helper()
-	store, ledger := platformtest.NewStore(), platformtest.NewLedger()
+	store, ledger := platformtest.NewStore(), platformtest.NewRunCounter()
 	t.Cleanup(store.Close)
 	require.NoError(t, store.Put("op", "config", platformtest.Configuration(1, "key-1")))
 	z := &zonedDeployment{heads: map[string][]*platformtest.Endpoint{}}
@@ -62,7 +62,7 @@
 }
 
 // endpoints adds the engines of two groups and two desk endpoints to a zone.
-func (z *zonedDeployment) endpoints(t *testing.T, store *platformtest.Store, ledger *platformtest.Ledger, zone string) {
+func (z *zonedDeployment) endpoints(t *testing.T, store *platformtest.Store, ledger *platformtest.RunCounter, zone string) {
 	t.Helper()
 	add := func(config platformtest.EndpointConfig) *platformtest.Endpoint {
 		e, err := platformtest.NewEndpoint(config, store, ledger)
@@ -81,14 +81,14 @@
 	}
 }
 
-func startNode(t *testing.T, store *platformtest.Store, ledger *platformtest.Ledger, name, zone string, zones []string) *deployment {
+func startNode(t *testing.T, store *platformtest.Store, ledger *platformtest.RunCounter, name, zone string, zones []string) *deployment {
 	t.Helper()
 	d := &deployment{t: t, store: store, ledger: ledger, done: make(chan error, 1)}
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%100, 1+os.Getpid()/100%250, hosts.Add(1))
 	free := freeAddresses(t, host, 3)
 	d.settings = platformtest.NodeSettings{
-		Node: name, Zone: zone, Zones: zones, Callers: free[0], Readiness: free[1], IP: host,
-		Internal: portOf(t, free[2]), Store: store.Address(),
+		Node: name, Zone: zone, Zones: zones, CallerAddress: free[0], ReadinessAddress: free[1], IP: host,
+		FirstInternalPort: portOf(t, free[2]), StoreAddress: store.Address(),
 	}
 	d.path = filepath.Join(t.TempDir(), "node.conf")
 	require.NoError(t, os.WriteFile(d.path, []byte(d.settings.Text()), 0o600))
@@ -100,7 +100,7 @@
 func (z *zonedDeployment) open(t *testing.T, zone string) *platformtest.Endpoint {
 	t.Helper()
 	for _, e := range z.heads[zone] {
-		if e.Open() {
+		if e.IsOpen() {
 			return e
 		}
 	}
@@ -152,10 +152,10 @@
 				if path == "/look/x" {
 					limited = z.desks[0]
 				}
-				limited.NameLimit(perSecond)
+				limited.SetRateLimit(perSecond)
 				named := time.Now()
 				answered := z.runCallers(t, 8*time.Second, method, path)
-				most := platformtest.MostIn(limited.Arrived(), limitWindow, named.Add(limitSettleTime))
+				most := platformtest.MaxInWindow(limited.ArrivalTimes(), limitWindow, named.Add(limitSettleTime))
 				require.LessOrEqual(t, most, limitAllows(perSecond))
 				require.Positive(t, most, "the endpoint still receives requests within its limit")
 				require.Greater(t, answered, 100, "the other endpoints serve the remaining requests")
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -24,7 +24,7 @@
 // the members' table, where every write counts as it shows that a node is alive.
 func sameValue(table string) relay.EqualValues {
 	if table == platform.TableEndpoints {
-		return platform.SameEntry
+		return platform.EqualEntries
 	}
 	return nil
 }
@@ -60,7 +60,7 @@
 	return &http.Server{
 		Addr: n.internalAddress(), ReadHeaderTimeout: internalHeaderTimeout,
 		Handler: neighbor.NewHandler(neighbor.ServerConfig{
-			Mirror: n.source.Mirror, Loads: n.loads, Suspect: n.manager.Stalled,
+			Mirror: n.source.Mirror, Loads: n.loads, Suspect: n.manager.ReportStall,
 			Commit: n.source.CommitDirect, Reserve: n.reserve, OnLoads: n.onLoads,
 			Limits: n.tracker, Permit: n.issuePermit,
 		}),
@@ -95,7 +95,7 @@
 	}
 	holder, known := n.table.Holder(e.Zone)
 	if !known || holder.Name == n.settings.Node {
-		n.manager.Stalled(context.Background(), endpointID)
+		n.manager.ReportStall(context.Background(), endpointID)
 		return
 	}
 	n.group.Go("suspect", func(ctx context.Context) error {
--- a/node/node.go
+++ b/node/node.go
@@ -86,21 +86,21 @@
 		Zones: s.Zones, FirstStart: s.FirstStart, Now: kernel.BootTime,
 	}, n.source)
 	n.manager = formation.NewManager(formation.Options{
-		Settings: n.currentSettings, Book: n.cache, Orderer: platform.NewEngines(), Position: n.table.Position,
-		Holds:    func(zone string) bool { return n.table.HoldsLease(zone, kernel.BootTime()) },
-		HeldFrom: n.table.LeasePosition,
-		Settled:  n.table.Recovered,
-		Begun:    func() bool { return n.gateway.Served() > 0 },
-		Moves:    n.tracker.Progressing,
-		Running:  n.tracker.Running,
+		Settings: n.currentSettings, Cache: n.cache, Orderer: platform.NewEndpointClient(), Position: n.table.Position,
+		HoldsLease:     func(zone string) bool { return n.table.HoldsLease(zone, kernel.BootTime()) },
+		LeasePosition:  n.table.LeasePosition,
+		Recovered:      n.table.Recovered,
+		TrafficStarted: func() bool { return n.gateway.Served() > 0 },
+		Progressing:    n.tracker.Progressing,
+		Running:        n.tracker.Running,
 	})
 	n.gateway = gateway.New(gateway.Options{
-		Settings: n.currentSettings, Book: n.cache, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
-		Shares:   n.shares,
-		Stalled:  n.reportStalled,
-		Placer:   newZonePlacer(n),
-		Lender:   permitIssuer{n},
-		Stopping: n.plannedStop,
+		Settings: n.currentSettings, Cache: n.cache, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
+		Shares:       n.shares,
+		ReportStall:  n.reportStalled,
+		Placer:       newZonePlacer(n),
+		PermitIssuer: permitIssuer{n},
+		Stopping:     n.plannedStop,
 	})
 	n.follower = directory.NewFollower(n.source, n.cache, n.manager.Pending).WithKnown(n.table.Known())
 	return n
@@ -163,7 +163,7 @@
 	if !n.knowsMembers() {
 		return gateway.Shares{Zone: 1}
 	}
-	return gateway.Shares{Nodes: len(n.table.Nodes()), Zone: len(n.peers()), Dispatches: n.dispatches(time.Now())}
+	return gateway.Shares{Nodes: len(n.table.Nodes()), Zone: len(n.peers()), IsDispatcher: n.dispatches(time.Now())}
 }
 
 // knowsMembers reports whether this node has read the list of nodes.
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -66,7 +66,7 @@
 func (r *results) checkResponse(a attempt) {
 	want := "done " + a.id
 	if a.kind == "stream" {
-		want = platformtest.WholeAnswer(a.id, a.events)
+		want = platformtest.FullResponse(a.id, a.events)
 	}
 	switch {
 	case !a.incomplete && a.body == want:
@@ -80,7 +80,7 @@
 
 // finish checks what is known only at the end, which requests the endpoints executed,
 // and returns all violations.
-func (r *results) finish(runs *platformtest.Ledger) []string {
+func (r *results) finish(runs *platformtest.RunCounter) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range r.bookings {
@@ -151,9 +151,9 @@
 	if a.kind == "look" {
 		method = http.MethodGet
 	}
-	address := c.deployment.nodes[c.node].settings.Callers
-	r, err := platformtest.NewRequest(ctx, method, address, "/"+a.kind+"/x", nil, platformtest.Ask{
-		ID: a.id, Key: key, Model: "m0", Patience: requestTimeout, Prompt: 100, Answer: answerTokens,
+	address := c.deployment.nodes[c.node].settings.CallerAddress
+	r, err := platformtest.NewRequest(ctx, method, address, "/"+a.kind+"/x", nil, platformtest.RequestInfo{
+		ID: a.id, Key: key, Model: "m0", Timeout: requestTimeout, Prompt: 100, Answer: answerTokens,
 	})
 	if err != nil {
 		a.incomplete = true
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -188,7 +188,7 @@
 	d.recordFault("stop %s, replace it after %s", e.config.ID, duration)
 	e.endpoint.Close()
 	kernel.Sleep(ctx, duration)
-	e.endpoint.Leave()
+	e.endpoint.Unregister()
 	d.mu.Lock()
 	for i, other := range d.endpoints {
 		if other == e {
@@ -214,7 +214,7 @@
 
 func dropStoreHistory(_ context.Context, d *deployment, _ time.Duration) error {
 	d.recordFault("store drops its history")
-	d.store.Forget()
+	d.store.DropHistory()
 	return nil
 }
 
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -29,10 +29,10 @@
 	e, perSecond := d.pickEndpoint(), float64(1+d.randomInt(maxLimit))
 	d.recordFault("%s sends a limit of %g requests a second for %s", e.config.ID, perSecond, minLimitDuration+duration)
 	limitSetAt := time.Now()
-	e.endpoint.NameLimit(perSecond)
+	e.endpoint.SetRateLimit(perSecond)
 	kernel.Sleep(ctx, minLimitDuration+duration)
 	d.checkLimit(e, perSecond, limitSetAt)
-	e.endpoint.EndLimit()
+	e.endpoint.ClearRateLimit()
 	return nil
 }
 
@@ -45,7 +45,7 @@
 	if d.lastNodeFault.After(from) {
 		from = d.lastNodeFault
 	}
-	most := platformtest.MostIn(e.endpoint.Arrived(), limitWindow, from.Add(limitPropagation))
+	most := platformtest.MaxInWindow(e.endpoint.ArrivalTimes(), limitWindow, from.Add(limitPropagation))
 	if allowed := limitOvershoot*perSecond*limitWindow.Seconds() + limitSlack; float64(most) > allowed {
 		d.violations = append(d.violations, fmt.Sprintf("%s sent a limit of %g requests a second and received %d requests in %s", e.config.ID, perSecond, most, limitWindow))
 	}
--- a/soak/promise.go
+++ b/soak/promise.go
@@ -84,7 +84,7 @@
 }
 
 // finish checks what is known only at the end and fills in the report.
-func (c *stopChecker) finish(runs *platformtest.Ledger, report *Report) {
+func (c *stopChecker) finish(runs *platformtest.RunCounter, report *Report) {
 	for _, x := range c.unansweredExchanges {
 		if runs.Runs(x.id) > 0 {
 			c.violations = append(c.violations, x.describe("ran and got no answer"))
--- a/soak/return.go
+++ b/soak/return.go
@@ -19,10 +19,10 @@
 // their lost entries again. Restored entries of endpoints that have been closed since
 // are removed after entryTimeout, as nobody writes them again.
 func restoreStore(ctx context.Context, d *deployment, duration time.Duration) error {
-	snapshot := d.store.Copy()
+	snapshot := d.store.Snapshot()
 	kernel.Sleep(ctx, minSnapshotAge+duration)
 	d.recordFault("restore the store from a snapshot %s old", minSnapshotAge+duration)
-	d.store.ComeBack(snapshot)
+	d.store.Restore(snapshot)
 	if err := d.rewriteEntries(); err != nil {
 		return err
 	}
@@ -30,7 +30,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.closedEndpoints {
-		e.endpoint.Leave()
+		e.endpoint.Unregister()
 	}
 	return nil
 }
@@ -39,7 +39,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.endpoints {
-		if err := e.endpoint.Beat(); err != nil {
+		if err := e.endpoint.Heartbeat(); err != nil {
 			return err
 		}
 	}
--- a/soak/world.go
+++ b/soak/world.go
@@ -77,7 +77,7 @@
 	random    *rand.Rand
 	group     *kernel.Group
 	store     *platformtest.Store
-	runs      *platformtest.Ledger
+	runs      *platformtest.RunCounter
 	processes *process.Set
 
 	mu              sync.Mutex
@@ -105,7 +105,7 @@
 func newDeployment(config Config) (*deployment, error) {
 	d := &deployment{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, 7)), group: kernel.NewGroup(context.Background()),
-		store: platformtest.NewStore(), runs: platformtest.NewLedger(), processes: process.NewSet(config.Bin, config.Dir), configVersion: 1,
+		store: platformtest.NewStore(), runs: platformtest.NewRunCounter(), processes: process.NewSet(config.Bin, config.Dir), configVersion: 1,
 	}
 	if err := d.store.Put("op", "config", platformtest.Configuration(1, stableKey, withdrawnKey)); err != nil {
 		return nil, err
@@ -159,7 +159,7 @@
 	if service == "llm" {
 		linked.config.Domain = "domain-" + zone
 	}
-	linked.config.Front = func(address string) (string, error) {
+	linked.config.RegisterAs = func(address string) (string, error) {
 		l, err := link.New(d.group, net.JoinHostPort(linkHost, "0"), address)
 		linked.link = l
 		if err != nil {
@@ -181,7 +181,7 @@
 	host := fmt.Sprintf("%s%d", d.config.Host, i+1)
 	n := &nodeProcess{storeLink: storeLink, path: filepath.Join(d.config.Dir, fmt.Sprintf("node-%d.conf", i)), settings: platformtest.NodeSettings{
 		Node: fmt.Sprintf("node-%d", i), Zone: zones[i%len(zones)], Zones: zones, IP: host,
-		Callers: net.JoinHostPort(host, "8300"), Readiness: net.JoinHostPort(host, "8301"), Internal: 8310, Store: storeLink.Address(),
+		CallerAddress: net.JoinHostPort(host, "8300"), ReadinessAddress: net.JoinHostPort(host, "8301"), FirstInternalPort: 8310, StoreAddress: storeLink.Address(),
 	}}
 	if err := os.WriteFile(n.path, []byte(n.settings.Text()), 0o600); err != nil {
 		return err
