--- a/cmd/standin/steps.go
+++ b/cmd/standin/steps.go
@@ -298,7 +298,7 @@
 	if err != nil {
 		return "", err
 	}
-	if err := s.processes.Failed(); err != nil {
+	if err := s.processes.UnexpectedExit(); err != nil {
 		return "", err
 	}
 	s.processes.StopAll()
--- a/cmd/standin/story.go
+++ b/cmd/standin/story.go
@@ -60,7 +60,7 @@
 func (s *story) wait(what string, done func() bool) error {
 	deadline := time.Now().Add(waitLimit)
 	for time.Now().Before(deadline) && s.ctx.Err() == nil {
-		if err := s.processes.Failed(); err != nil {
+		if err := s.processes.UnexpectedExit(); err != nil {
 			return err
 		}
 		if done() {
--- a/measure/deployment.go
+++ b/measure/deployment.go
@@ -131,7 +131,7 @@
 func (d *deployment) wait(what string, done func() bool) error {
 	deadline := time.Now().Add(waitLimit)
 	for time.Now().Before(deadline) {
-		if err := d.set.Failed(); err != nil {
+		if err := d.set.UnexpectedExit(); err != nil {
 			return err
 		}
 		if done() {
--- a/soak/run.go
+++ b/soak/run.go
@@ -53,7 +53,7 @@
 	if err := play(ctx, &report); err != nil {
 		return report, err
 	}
-	if err := w.set.Failed(); err != nil {
+	if err := w.set.UnexpectedExit(); err != nil {
 		report.Mistakes = append(report.Mistakes, err.Error())
 	}
 	report.Faults = w.faults
--- a/standin/process/process.go
+++ b/standin/process/process.go
@@ -80,8 +80,8 @@
 // PID returns the process's id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Failed returns an error when a process has ended that was not stopped.
-func (s *Set) Failed() error {
+// UnexpectedExit returns an error when a process has ended that was not stopped.
+func (s *Set) UnexpectedExit() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.all {
