--- a/caller/once_test.go
+++ b/caller/once_test.go
@@ -255,7 +255,7 @@
 	require.Zero(t, d.Runs("storm-1"))
 
 	answer := d.Load(4, 2, 8, 0, 1)
-	require.Equal(t, 4, answer.Whole, "advice goes on without the table")
+	require.Equal(t, 4, answer.Correct, "advice goes on without the table")
 
 	d.Table.SetFaults(table.Faults{})
 	d.Eventually("the deposit runs", func() bool {
--- a/caller/stream_test.go
+++ b/caller/stream_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	result := d.Load(1200, 32, 24, 0, 1)
-	require.Equal(t, 1200, result.Whole, result.String())
+	require.Equal(t, 1200, result.Correct, result.String())
 }
 
 // A driver's answer stops and never goes on.
@@ -60,7 +60,7 @@
 		}
 	}
 	result := d.Load(20, 4, 24, 0, 1)
-	require.Equal(t, 20, result.Whole, result.String())
+	require.Equal(t, 20, result.Correct, result.String())
 }
 
 // Every connection to an endpoint that was open goes silent for good, while
@@ -86,13 +86,13 @@
 	d.Table.SetVMs(vms)
 	d.Submit("v1")
 	before := d.Load(20, 4, 8, 0)
-	require.Equal(t, 20, before.Whole, before.String())
+	require.Equal(t, 20, before.Correct, before.String())
 	for _, l := range links {
 		l.Set(link.Swallow, 0)
 		l.Set(link.Pass, 0)
 	}
 	result := d.Load(20, 4, 8, 0)
-	require.Equal(t, 20, result.Whole, result.String())
+	require.Equal(t, 20, result.Correct, result.String())
 }
 
 // Callers with equal questions at the same time must each get an answer of
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -32,7 +32,7 @@
 		Workers: c.Workers, Tokens: c.Tokens, Timeout: c.Timeout,
 	})
 	_, _ = fmt.Fprintln(c.app.out, result)
-	if result.Whole != c.Requests {
+	if result.Correct != c.Requests {
 		return errors.New("not every answer was whole")
 	}
 	return nil
--- a/cmd/standin/process_test.go
+++ b/cmd/standin/process_test.go
@@ -138,7 +138,7 @@
 				return false
 			}
 			c := w.load(1, i)
-			if load.Run(w.t.Context(), c).Whole != 1 {
+			if load.Run(w.t.Context(), c).Correct != 1 {
 				return false
 			}
 		}
@@ -315,9 +315,9 @@
 		return err == nil && after.LeaseHolder == w.layout.ControllerID(other)
 	})
 	require.Greater(t, after.Fencing, status.Fencing)
-	require.Equal(t, 20, load.Run(t.Context(), w.load(20, 0, 1)).Whole)
+	require.Equal(t, 20, load.Run(t.Context(), w.load(20, 0, 1)).Correct)
 	require.NoError(t, frozen.Thaw())
-	require.Equal(t, 20, load.Run(t.Context(), w.load(20, 0, 1)).Whole)
+	require.Equal(t, 20, load.Run(t.Context(), w.load(20, 0, 1)).Correct)
 	w.eventually("the thawed one knows the new holder", func() bool {
 		s, err := w.operator(1 - other).Status(t.Context())
 		return err == nil && s.LeaseHolder == w.layout.ControllerID(other)
@@ -358,7 +358,7 @@
 	require.NoError(t, g.Wait())
 	require.Equal(t, http.StatusOK, booked.status)
 	r := <-result
-	require.Equal(t, r.Sent, r.Whole, r.String())
+	require.Equal(t, r.Sent, r.Correct, r.String())
 	require.Equal(t, redwinghall.ClaimRan, w.claim("stop-1").State)
 }
 
@@ -386,7 +386,7 @@
 		data, err := io.ReadAll(response.Body)
 		return err == nil && response.Header.Get(caller.HeaderGeneration) == "1" && strings.Contains(string(data), "out of service")
 	})
-	require.Equal(t, 10, load.Run(t.Context(), w.load(10, pair)).Whole, "its callers are served in the other zone")
+	require.Equal(t, 10, load.Run(t.Context(), w.load(10, pair)).Correct, "its callers are served in the other zone")
 	w.eventually("it says since when the platform does not answer", func() bool {
 		status, err := w.operator(pair).Status(t.Context())
 		return err == nil && status.PlatformUnreachableSince != nil
--- a/cmd/standin/steps.go
+++ b/cmd/standin/steps.go
@@ -107,7 +107,7 @@
 
 func (s *story) serve() (string, error) {
 	result := load.Run(s.ctx, s.loadConfig(240, s.allRouters()...))
-	if result.Whole != result.Sent {
+	if result.Correct != result.Sent {
 		return "", errors.New(result.String())
 	}
 	return result.String(), nil
@@ -197,7 +197,7 @@
 	}
 	_ = response.Body.Close()
 	result := <-done
-	if result.Whole != result.Sent {
+	if result.Correct != result.Sent {
 		return "", errors.New(result.String())
 	}
 	err = s.wait("the dead VM is out of its group", func() bool {
@@ -246,7 +246,7 @@
 			started += n - before.ByVM[vm]
 		}
 	}
-	if started != 0 || result.Whole != result.Sent {
+	if started != 0 || result.Correct != result.Sent {
 		return "", fmt.Errorf("%d requests were started in %s; %s", started, zone, result)
 	}
 	return fmt.Sprintf("in force after %s; 0 requests started in %s; %s", inForce.Round(time.Millisecond), zone, result), nil
@@ -265,7 +265,7 @@
 		return "", err
 	}
 	result := load.Run(s.ctx, s.loadConfig(60, 2, 3))
-	if result.Whole != result.Sent {
+	if result.Correct != result.Sent {
 		return "", errors.New(result.String())
 	}
 	return result.String(), nil
@@ -287,7 +287,7 @@
 		return "", err
 	}
 	result := <-done
-	if result.Whole != result.Sent {
+	if result.Correct != result.Sent {
 		return "", errors.New(result.String())
 	}
 	return result.String(), nil
--- a/endpoint/manager_test.go
+++ b/endpoint/manager_test.go
@@ -88,7 +88,7 @@
 			s[0].Usable(time.Now(), time.Minute)
 	})
 	incompleteBefore := d.Fleet.Record().Incomplete
-	require.Equal(t, 10, d.Load(10, 2, 4, 0).Whole)
+	require.Equal(t, 10, d.Load(10, 2, 4, 0).Correct)
 	require.Equal(t, incompleteBefore, d.Fleet.Record().Incomplete, "a request started in an incomplete group")
 }
 
@@ -119,7 +119,7 @@
 		return false
 	})
 	d.WaitServing("v1")
-	require.Equal(t, 10, d.Load(10, 2, 4, 0).Whole)
+	require.Equal(t, 10, d.Load(10, 2, 4, 0).Correct)
 }
 
 // Both VMs of the group's fabric domain fail at once and are still live in the
@@ -140,7 +140,7 @@
 		return false
 	})
 	d.WaitServing("v1")
-	require.Equal(t, 10, d.Load(10, 2, 4, 0).Whole)
+	require.Equal(t, 10, d.Load(10, 2, 4, 0).Correct)
 	require.NotEqual(t, before.FabricDomain, onlyGroup(t, d).FabricDomain)
 }
 
@@ -172,7 +172,7 @@
 		return err == nil && g.Generation > before.Generation && r.Group == g.ID && r.Generation == g.Generation
 	})
 	d.WaitServing("v1")
-	require.Equal(t, 10, d.Load(10, 2, 4, 0).Whole)
+	require.Equal(t, 10, d.Load(10, 2, 4, 0).Correct)
 }
 
 func TestStaleOrderIsRefusedByAnEngineThatChecks(t *testing.T) {
@@ -190,7 +190,7 @@
 	d := rwhtest.Start(t, rwhtest.Options{VMsPerGroup: 2, Replicas: 2, VMsPerZone: 6})
 	d.Submit("v1")
 	d.Submit("v2")
-	require.Equal(t, 10, d.Load(10, 2, 4, 0).Whole)
+	require.Equal(t, 10, d.Load(10, 2, 4, 0).Correct)
 	d.Eventually("only the new version is left", func() bool {
 		all := groups(t, d, "tartu")
 		for _, g := range all {
@@ -232,5 +232,5 @@
 		return err == nil && r.Status == http.StatusServiceUnavailable
 	})
 	require.Zero(t, d.Runs("late"))
-	d.Eventually("a whole group serves", func() bool { return d.Load(1, 1, 4, 0).Whole == 1 })
+	d.Eventually("a whole group serves", func() bool { return d.Load(1, 1, 4, 0).Correct == 1 })
 }
--- a/measure/request.go
+++ b/measure/request.go
@@ -45,7 +45,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if result.Whole != result.Sent {
+		if result.Correct != result.Sent {
 			return nil, errors.New(result.String())
 		}
 		x := float64(tokens)
--- a/measure/zone.go
+++ b/measure/zone.go
@@ -97,7 +97,7 @@
 	for i := range d.layout.Pairs() {
 		c.Routers = []string{d.layout.Caller(i)}
 		c.Requests, c.Workers = 60, 3
-		if r := load.Run(context.Background(), c); r.Whole == 0 {
+		if r := load.Run(context.Background(), c); r.Correct == 0 {
 			return errors.New(r.String())
 		}
 	}
--- a/standin/load/load.go
+++ b/standin/load/load.go
@@ -34,7 +34,7 @@
 // Result is what came back.
 type Result struct {
 	Sent    int            `json:"sent"`
-	Whole   int            `json:"whole"`   // complete and equal to what the engine must say
+	Correct int            `json:"whole"`   // complete and equal to what the engine must say
 	Wrong   int            `json:"wrong"`   // complete and different
 	Refused map[string]int `json:"refused"` // by code
 	Failed  int            `json:"failed"`  // no answer, or one that was not complete
@@ -56,7 +56,7 @@
 // String is one line for people.
 func (r Result) String() string {
 	return fmt.Sprintf("sent %d, whole %d, wrong %d, failed %d, refused %v, first chunk p50 %s p95 %s",
-		r.Sent, r.Whole, r.Wrong, r.Failed, r.Refused,
+		r.Sent, r.Correct, r.Wrong, r.Failed, r.Refused,
 		r.Quantile(0.5).Round(time.Microsecond), r.Quantile(0.95).Round(time.Microsecond))
 }
 
@@ -103,7 +103,7 @@
 	case one.Text != one.Want:
 		r.Wrong++
 	default:
-		r.Whole++
+		r.Correct++
 		r.FirstChunk = append(r.FirstChunk, one.First)
 	}
 }
