--- a/measure/zone.go
+++ b/measure/zone.go
@@ -145,7 +145,7 @@
 	return out, errors.Join(requests.Wait(), g.Wait())
 }
 
-func (b *bySecond) add(second int, a load.Answer, took time.Duration) {
+func (b *bySecond) add(second int, a load.Response, took time.Duration) {
 	switch {
 	case a.Code != "":
 		b.refused[second].Add(1)
--- a/standin/load/load.go
+++ b/standin/load/load.go
@@ -93,7 +93,7 @@
 	return result
 }
 
-func (r *Result) add(one Answer) {
+func (r *Result) add(one Response) {
 	r.Sent++
 	switch {
 	case one.Code != "":
@@ -108,8 +108,8 @@
 	}
 }
 
-// Answer is one streamed answer.
-type Answer struct {
+// Response is one streamed answer.
+type Response struct {
 	Text  string
 	Want  string
 	Code  string // of a refusal
@@ -131,7 +131,7 @@
 }
 
 // Stream sends request number i and reads its streamed answer.
-func Stream(ctx context.Context, client *http.Client, c Config, i int) Answer {
+func Stream(ctx context.Context, client *http.Client, c Config, i int) Response {
 	body, want := Body(c, i)
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -139,33 +139,33 @@
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost,
 		"http://"+c.Routers[i%len(c.Routers)]+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Key)
 	request.Header.Set("Content-Type", "application/json")
 	response, err := client.Do(request)
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return refusal(response)
 	}
-	answer := Answer{Want: want}
+	answer := Response{Want: want}
 	answer.Text, answer.First, answer.Err = readStream(response.Body, started)
 	return answer
 }
 
-func refusal(response *http.Response) Answer {
+func refusal(response *http.Response) Response {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	var body caller.Refusal
 	if err := json.Unmarshal(data, &body); err != nil || body.Error.Code == "" {
-		return Answer{Err: fmt.Errorf("status %d without a code", response.StatusCode)}
+		return Response{Err: fmt.Errorf("status %d without a code", response.StatusCode)}
 	}
-	return Answer{Code: string(body.Error.Code)}
+	return Response{Code: string(body.Error.Code)}
 }
 
 // streamChunk is the part of a chunk that holds text or an error.
