--- a/standin/passes/passes.go
+++ b/standin/passes/passes.go
@@ -11,8 +11,8 @@
 
 // Request is one stream at a group.
 type Request struct {
-	Prompt int // tokens to read
-	Answer int // tokens to write
+	PromptTokens int // tokens to read
+	Answer       int // tokens to write
 	// OnEvent is told of each event, and whether it is the last.
 	OnEvent func(at time.Time, last bool)
 
@@ -42,7 +42,7 @@
 
 // Send hands the group a request at now.
 func (g *Group) Send(now time.Time, r *Request) {
-	r.unread = r.Prompt
+	r.unread = r.PromptTokens
 	g.waiting = append(g.waiting, r)
 	if !g.busy {
 		g.startPass(now)
@@ -90,7 +90,7 @@
 	for _, r := range g.running {
 		if r.unread == 0 {
 			writers++
-			context += r.Prompt + r.written
+			context += r.PromptTokens + r.written
 		}
 	}
 	budget := g.engine.Chunk * g.engine.Stride
