--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -71,7 +71,7 @@
 	}
 	first, last, slowest := time.Time{}, now, time.Duration(0)
 	groups[chosen].Send(now, &passes.Request{
-		PromptTokens: prompt, Answer: int(min(400, random.ExpFloat64()*120+6)),
+		PromptTokens: prompt, AnswerTokens: int(min(400, random.ExpFloat64()*120+6)),
 		OnEvent: func(at time.Time, end bool) {
 			if first.IsZero() {
 				first = at
--- a/balance/zone_load_test.go
+++ b/balance/zone_load_test.go
@@ -239,7 +239,7 @@
 	usual := func(running int) time.Duration {
 		return balance.NewPace(zoneEngine(), zoneEngine().Models[0], 1).Pass(running, 0)
 	}
-	request := &passes.Request{PromptTokens: c.prompt, Answer: c.answer, OnEvent: func(at time.Time, end bool) {
+	request := &passes.Request{PromptTokens: c.prompt, AnswerTokens: c.answer, OnEvent: func(at time.Time, end bool) {
 		if first.IsZero() {
 			first = at
 		} else {
--- a/standin/passes/passes.go
+++ b/standin/passes/passes.go
@@ -12,7 +12,7 @@
 // Request is one stream at a group.
 type Request struct {
 	PromptTokens int // tokens to read
-	Answer       int // tokens to write
+	AnswerTokens int // tokens to write
 	// OnEvent is told of each event, and whether it is the last.
 	OnEvent func(at time.Time, last bool)
 
@@ -62,7 +62,7 @@
 			continue
 		}
 		r.written += g.engine.Stride
-		last := r.written >= r.Answer
+		last := r.written >= r.AnswerTokens
 		r.OnEvent(now, last)
 		if !last {
 			still = append(still, r)
