--- a/caller/once_test.go
+++ b/caller/once_test.go
@@ -167,7 +167,7 @@
 	d := twoZones(t)
 	began := make(chan string, 10)
 	for _, s := range d.Services {
-		s.Began = began
+		s.Arrivals = began
 		s.SetFaults(service.Faults{Delay: redwinghall.Duration(200 * time.Millisecond)})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -44,9 +44,9 @@
 	mu     sync.Mutex
 	runs   map[string]int
 	faults Faults
-	// Began receives the key of each call that has arrived, before its delay
+	// Arrivals receives the key of each call that has arrived, before its delay
 	// and its run, when it is not nil. Set it before the first call.
-	Began chan string
+	Arrivals chan string
 }
 
 // New returns a service that has run nothing.
@@ -96,8 +96,8 @@
 		panic(http.ErrAbortHandler)
 	}
 	key := r.Header.Get("Idempotency-Key")
-	if s.Began != nil {
-		s.Began <- key
+	if s.Arrivals != nil {
+		s.Arrivals <- key
 	}
 	if f.Delay > 0 {
 		time.Sleep(f.Delay.Std())
