--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -124,7 +124,7 @@
 	_, err := b.one.Claim(t.Context(), time.Now(), key, hash)
 	require.Equal(t, claim.Lost, redwinghall.KindOf[claim.Kind](err))
 	waitRecorded(t, b.one)
-	require.Zero(t, b.table.LandLate(), "the late claim must find the row taken")
+	require.Zero(t, b.table.ApplyLate(), "the late claim must find the row taken")
 	require.Equal(t, claim.Proceed, mustClaim(t, b.two, time.Now()).Verdict)
 }
 
@@ -139,7 +139,7 @@
 	_, err := b.two.Claim(t.Context(), time.Now(), key, hash)
 	require.Error(t, err)
 	waitRecorded(t, b.two)
-	require.Zero(t, b.table.LandLate())
+	require.Zero(t, b.table.ApplyLate())
 	require.Equal(t, claim.Proceed, mustClaim(t, b.one, time.Now()).Verdict)
 }
 
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -182,7 +182,7 @@
 	case 1:
 		p.table.SetFaults(table.Faults{LateWrites: 1})
 	case 2:
-		p.table.LandLate()
+		p.table.ApplyLate()
 	case 3: // paused after it has read the rows and before it writes
 		if txn, record, ok, err := c.prepare(now, nonce); err == nil && ok && p.paused[i] == nil {
 			p.paused[i] = func(resumed time.Time) error { return c.commit(now, resumed, txn, record) }
--- a/operator/acceptor_test.go
+++ b/operator/acceptor_test.go
@@ -74,7 +74,7 @@
 	require.NoError(t, err)
 	_, err = a.SubmitManifest(t.Context(), operator.Submission{SubmitID: "b", Replaces: 1}, manifest("b"))
 	require.NoError(t, err)
-	require.Zero(t, tab.LandLate())
+	require.Zero(t, tab.ApplyLate())
 	require.Equal(t, "b", head(t, tab).SubmitID)
 }
 
@@ -117,7 +117,7 @@
 			case 1:
 				tab.SetFaults(table.Faults{LateWrites: rapid.IntRange(1, 5).Draw(rt, "late")})
 			case 2:
-				tab.LandLate()
+				tab.ApplyLate()
 			default:
 				tab.SetFaults(table.Faults{})
 			}
--- a/standin/table/table.go
+++ b/standin/table/table.go
@@ -223,9 +223,9 @@
 	})
 }
 
-// LandLate lets the late writes that wait take effect now, and returns how
+// ApplyLate lets the late writes that wait take effect now, and returns how
 // many of them did.
-func (t *Table) LandLate() int {
+func (t *Table) ApplyLate() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	landed := 0
