--- a/caller/stream_test.go
+++ b/caller/stream_test.go
@@ -88,7 +88,7 @@
 	before := d.Load(20, 4, 8, 0)
 	require.Equal(t, 20, before.Correct, before.String())
 	for _, l := range links {
-		l.Set(link.Swallow, 0)
+		l.Set(link.Blackhole, 0)
 		l.Set(link.Pass, 0)
 	}
 	result := d.Load(20, 4, 8, 0)
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -19,9 +19,9 @@
 	Pass Mode = "pass"
 	// Cut closes all connections and refuses new ones.
 	Cut Mode = "cut"
-	// Swallow keeps the connections that are open and delivers nothing more on
+	// Blackhole keeps the connections that are open and delivers nothing more on
 	// them, like a middle box that has lost track; new connections work.
-	Swallow Mode = "swallow"
+	Blackhole Mode = "swallow"
 	// Reset ends all connections with a reset; new ones work.
 	Reset Mode = "reset"
 	// OneWay delivers what callers send, and nothing of what comes back.
@@ -74,7 +74,7 @@
 		case Cut:
 			_ = p.a.Close()
 			_ = p.b.Close()
-		case Swallow:
+		case Blackhole:
 			p.swallowed = true
 		case Reset:
 			p.reset()
