--- a/cmd/standin/process_test.go
+++ b/cmd/standin/process_test.go
@@ -149,7 +149,7 @@
 func (w *world) load(requests int, routers ...int) load.Config {
 	c := load.Config{Key: layout.DemoKey(account), Model: w.layout.Model, Requests: requests, Workers: 8, Tokens: 8, Timeout: waitLimit}
 	for _, i := range routers {
-		c.Routers = append(c.Routers, w.layout.Caller(i))
+		c.Routers = append(c.Routers, w.layout.CallerAddress(i))
 	}
 	return c
 }
@@ -162,7 +162,7 @@
 // post books under a key through one router.
 func (w *world) post(router int, key string) (reply, error) {
 	request, err := http.NewRequestWithContext(w.t.Context(), http.MethodPost,
-		"http://"+w.layout.Caller(router)+"/v1/services/"+w.layout.Service+"/deposits", strings.NewReader(`{"amount":50}`))
+		"http://"+w.layout.CallerAddress(router)+"/v1/services/"+w.layout.Service+"/deposits", strings.NewReader(`{"amount":50}`))
 	if err != nil {
 		return reply{}, err
 	}
@@ -378,7 +378,7 @@
 	w.start(layout.Launch{Name: w.layout.RouterID(pair), Program: "router",
 		Args: []string{"--settings", filepath.Join(w.dir, w.layout.RouterID(pair)+".json")}})
 	w.eventually("the restarted router knows the manifest and that its zone is out", func() bool {
-		response, err := w.client.Get("http://" + w.layout.Caller(pair) + "/readyz")
+		response, err := w.client.Get("http://" + w.layout.CallerAddress(pair) + "/readyz")
 		if err != nil {
 			return false
 		}
--- a/cmd/standin/steps.go
+++ b/cmd/standin/steps.go
@@ -48,7 +48,7 @@
 	}
 	err := s.wait("every router answers", func() bool {
 		for i := range s.layout.Pairs() {
-			if s.status(s.layout.Caller(i), "/healthz") != http.StatusOK {
+			if s.status(s.layout.CallerAddress(i), "/healthz") != http.StatusOK {
 				return false
 			}
 		}
@@ -75,7 +75,7 @@
 	accepted := time.Now()
 	err := s.wait("every router has the manifest", func() bool {
 		for i := range s.layout.Pairs() {
-			if s.status(s.layout.Caller(i), "/readyz") != http.StatusOK {
+			if s.status(s.layout.CallerAddress(i), "/readyz") != http.StatusOK {
 				return false
 			}
 		}
@@ -224,8 +224,8 @@
 	}
 	decided := time.Now()
 	err := s.wait("both routers of the zone are not ready", func() bool {
-		return s.status(s.layout.Caller(2), "/readyz") == http.StatusServiceUnavailable &&
-			s.status(s.layout.Caller(3), "/readyz") == http.StatusServiceUnavailable
+		return s.status(s.layout.CallerAddress(2), "/readyz") == http.StatusServiceUnavailable &&
+			s.status(s.layout.CallerAddress(3), "/readyz") == http.StatusServiceUnavailable
 	})
 	if err != nil {
 		return "", err
@@ -258,8 +258,8 @@
 		return "", err
 	}
 	err := s.wait("both routers of the zone are ready", func() bool {
-		return s.status(s.layout.Caller(2), "/readyz") == http.StatusOK &&
-			s.status(s.layout.Caller(3), "/readyz") == http.StatusOK
+		return s.status(s.layout.CallerAddress(2), "/readyz") == http.StatusOK &&
+			s.status(s.layout.CallerAddress(3), "/readyz") == http.StatusOK
 	})
 	if err != nil {
 		return "", err
--- a/cmd/standin/story.go
+++ b/cmd/standin/story.go
@@ -103,7 +103,7 @@
 		Requests: requests, Workers: 12, Tokens: 24, Timeout: 30 * time.Second, Seed: requests,
 	}
 	for _, i := range routers {
-		c.Routers = append(c.Routers, s.layout.Caller(i))
+		c.Routers = append(c.Routers, s.layout.CallerAddress(i))
 	}
 	return c
 }
@@ -120,7 +120,7 @@
 // whether the answer was a replay.
 func (s *story) post(router int, key, body string) (int, string, error) {
 	request, err := http.NewRequestWithContext(s.ctx, http.MethodPost,
-		"http://"+s.layout.Caller(router)+"/v1/services/"+s.layout.Service+"/deposits", strings.NewReader(body))
+		"http://"+s.layout.CallerAddress(router)+"/v1/services/"+s.layout.Service+"/deposits", strings.NewReader(body))
 	if err != nil {
 		return 0, "", err
 	}
--- a/measure/deployment.go
+++ b/measure/deployment.go
@@ -149,7 +149,7 @@
 // readyz returns the status and the manifest generation that a router tells
 // the balancer; zero and "" when it does not answer.
 func (d *deployment) readyz(i int) (status int, generation string) {
-	response, err := d.client.Get("http://" + d.layout.Caller(i) + "/readyz")
+	response, err := d.client.Get("http://" + d.layout.CallerAddress(i) + "/readyz")
 	if err != nil {
 		return 0, ""
 	}
--- a/measure/nodes.go
+++ b/measure/nodes.go
@@ -147,7 +147,7 @@
 	var metrics map[string]struct {
 		Value float64 `json:"value"`
 	}
-	err := d.get(d.layout.Caller(i)+"/metrics", &metrics)
+	err := d.get(d.layout.CallerAddress(i)+"/metrics", &metrics)
 	return 2 * (metrics["peer.bytes_sent"].Value + metrics["peer.bytes_received"].Value), err
 }
 
--- a/measure/request.go
+++ b/measure/request.go
@@ -33,7 +33,7 @@
 	leader := status.Groups[0].Leader().Address
 	var cpu, through, direct []Point
 	for _, tokens := range []int{1, 16, 64, 256} {
-		c := load.Config{Routers: []string{d.layout.Caller(0)}, Key: layout.DemoKey(measureAccount), Model: d.layout.Model,
+		c := load.Config{Routers: []string{d.layout.CallerAddress(0)}, Key: layout.DemoKey(measureAccount), Model: d.layout.Model,
 			Requests: max(600, 6000/tokens), Workers: requestWorkers, Tokens: tokens, Timeout: waitLimit}
 		load.Run(context.Background(), c) // warm up
 		before, err := cpuOf(d.routers[0].PID())
--- a/measure/zone.go
+++ b/measure/zone.go
@@ -95,7 +95,7 @@
 func (d *deployment) warmUp() error {
 	c := d.loadConfig()
 	for i := range d.layout.Pairs() {
-		c.Routers = []string{d.layout.Caller(i)}
+		c.Routers = []string{d.layout.CallerAddress(i)}
 		c.Requests, c.Workers = 60, 3
 		if r := load.Run(context.Background(), c); r.Correct == 0 {
 			return errors.New(r.String())
@@ -174,7 +174,7 @@
 	var found []string
 	for i := range d.layout.Pairs() {
 		if status, _ := d.readyz(i); status == http.StatusOK {
-			found = append(found, d.layout.Caller(i))
+			found = append(found, d.layout.CallerAddress(i))
 		}
 	}
 	if len(found) == 0 {
--- a/standin/layout/layout.go
+++ b/standin/layout/layout.go
@@ -78,8 +78,8 @@
 // ServiceAddress returns where the service of a zone listens.
 func (l Layout) ServiceAddress(zone int) string { return l.address(portService + zone) }
 
-// Caller returns where the router of a pair takes callers' requests.
-func (l Layout) Caller(pair int) string { return l.address(portCaller + pair) }
+// CallerAddress returns where the router of a pair takes callers' requests.
+func (l Layout) CallerAddress(pair int) string { return l.address(portCaller + pair) }
 
 // Operator returns where the controller of a pair takes operators' requests.
 func (l Layout) Operator(pair int) string { return l.address(portOperator + pair) }
@@ -157,7 +157,7 @@
 	for i := range l.Pairs() {
 		out = append(out,
 			peer.Member{ID: l.RouterID(i), AvailabilityZone: l.ZoneOf(i), Address: l.address(portRouterPeer + i),
-				Program: peer.Router, CallerAddress: l.Caller(i)},
+				Program: peer.Router, CallerAddress: l.CallerAddress(i)},
 			peer.Member{ID: l.ControllerID(i), AvailabilityZone: l.ZoneOf(i), Address: l.address(portControllerPeer + i),
 				Program: peer.Controller})
 	}
@@ -173,7 +173,7 @@
 
 // Router returns the settings of a pair's router.
 func (l Layout) Router(pair int) daemon.RouterSettings {
-	s := daemon.RouterSettings{Common: l.common(l.RouterID(pair), pair, portRouterPeer), CallerAddress: l.Caller(pair)}
+	s := daemon.RouterSettings{Common: l.common(l.RouterID(pair), pair, portRouterPeer), CallerAddress: l.CallerAddress(pair)}
 	if l.TuneRouter != nil {
 		l.TuneRouter(&s)
 	}
