--- a/cmd/standin/process_test.go
+++ b/cmd/standin/process_test.go
@@ -121,7 +121,7 @@
 }
 
 func (w *world) operator(pair int) *operator.Client {
-	return operator.NewClient(w.layout.Operator(pair), token)
+	return operator.NewClient(w.layout.OperatorAddress(pair), token)
 }
 
 func (w *world) submit() {
--- a/cmd/standin/story.go
+++ b/cmd/standin/story.go
@@ -84,7 +84,7 @@
 // ctl runs rwhctl; a refusal's text is in the error.
 func (s *story) ctl(args ...string) error {
 	cmd := exec.CommandContext(s.ctx, filepath.Join(s.bin, "rwhctl"),
-		append([]string{"--controller", s.layout.Operator(0)}, args...)...)
+		append([]string{"--controller", s.layout.OperatorAddress(0)}, args...)...)
 	cmd.Env = append(cmd.Environ(), "RWH_OPERATOR_TOKEN="+demoOperatorToken)
 	output, err := cmd.CombinedOutput()
 	if err != nil {
@@ -94,7 +94,7 @@
 }
 
 func (s *story) operators(pair int) *operator.Client {
-	return operator.NewClient(s.layout.Operator(pair), demoOperatorToken)
+	return operator.NewClient(s.layout.OperatorAddress(pair), demoOperatorToken)
 }
 
 func (s *story) loadConfig(requests int, routers ...int) load.Config {
--- a/measure/deployment.go
+++ b/measure/deployment.go
@@ -143,7 +143,7 @@
 }
 
 func (d *deployment) operator(i int) *operator.Client {
-	return operator.NewClient(d.layout.Operator(i), measureToken)
+	return operator.NewClient(d.layout.OperatorAddress(i), measureToken)
 }
 
 // readyz returns the status and the manifest generation that a router tells
--- a/standin/layout/layout.go
+++ b/standin/layout/layout.go
@@ -81,8 +81,8 @@
 // CallerAddress returns where the router of a pair takes callers' requests.
 func (l Layout) CallerAddress(pair int) string { return l.address(portCaller + pair) }
 
-// Operator returns where the controller of a pair takes operators' requests.
-func (l Layout) Operator(pair int) string { return l.address(portOperator + pair) }
+// OperatorAddress returns where the controller of a pair takes operators' requests.
+func (l Layout) OperatorAddress(pair int) string { return l.address(portOperator + pair) }
 
 // Pairs returns how many routers, and controllers, there are.
 func (l Layout) Pairs() int { return l.PairsPerZone * len(l.Zones) }
@@ -184,7 +184,7 @@
 func (l Layout) Controller(pair int) daemon.ControllerSettings {
 	s := daemon.ControllerSettings{
 		Common:          l.common(l.ControllerID(pair), pair, portControllerPeer),
-		OperatorAddress: l.Operator(pair), OperatorToken: daemon.Token{Env: OperatorTokenVariable},
+		OperatorAddress: l.OperatorAddress(pair), OperatorToken: daemon.Token{Env: OperatorTokenVariable},
 	}
 	if l.TuneController != nil {
 		l.TuneController(&s)
