--- a/cmd/standin/process_test.go
+++ b/cmd/standin/process_test.go
@@ -212,7 +212,7 @@
 
 func (w *world) claim(key string) redwinghall.Claim {
 	w.t.Helper()
-	rows, err := tablehttp.NewClient(w.layout.Platform()).Read(w.t.Context(), redwinghall.ClaimKey(account, w.layout.Service, key))
+	rows, err := tablehttp.NewClient(w.layout.PlatformAddress()).Read(w.t.Context(), redwinghall.ClaimKey(account, w.layout.Service, key))
 	require.NoError(w.t, err)
 	var c redwinghall.Claim
 	if rows[0].Version != 0 {
@@ -263,7 +263,7 @@
 // key becomes free, and the deposit runs once under it.
 func TestRouterFrozenBeforeTheCall(t *testing.T) {
 	w := twoZones(t)
-	w.control(w.layout.Platform(), table.PathFaults, table.Faults{HoldAnswers: true})
+	w.control(w.layout.PlatformAddress(), table.PathFaults, table.Faults{HoldAnswers: true})
 	ctx, cancel := context.WithCancel(t.Context())
 	g := kernel.NewGroup(ctx)
 	g.Go("haulier", func(context.Context) error {
@@ -273,7 +273,7 @@
 	w.eventually("the claim is held", func() bool { return w.claim("frozen-1").State == redwinghall.ClaimHeld })
 	frozen := w.processes[w.layout.RouterID(0)]
 	require.NoError(t, frozen.Freeze())
-	w.control(w.layout.Platform(), table.PathFaults, table.Faults{})
+	w.control(w.layout.PlatformAddress(), table.PathFaults, table.Faults{})
 
 	r, err := w.post(1, "frozen-1")
 	require.NoError(t, err)
@@ -372,7 +372,7 @@
 		Domains: [][]int{{2}, {2}}, PerGroup: 2, Replicas: 1})
 	_, err := w.operator(0).SetZone(t.Context(), operator.Submission{SubmitID: "out"}, "parnu", redwinghall.ZoneOut)
 	require.NoError(t, err)
-	w.control(w.layout.Platform(), table.PathFaults, table.Faults{Down: true})
+	w.control(w.layout.PlatformAddress(), table.PathFaults, table.Faults{Down: true})
 	const pair = 3
 	w.set.Kill(w.processes[w.layout.RouterID(pair)])
 	w.start(layout.Launch{Name: w.layout.RouterID(pair), Program: "router",
--- a/measure/nodes.go
+++ b/measure/nodes.go
@@ -138,7 +138,7 @@
 		}
 		out.bytes += bytes
 	}
-	return out, d.get(d.layout.Platform()+table.PathCounts, &out.counts)
+	return out, d.get(d.layout.PlatformAddress()+table.PathCounts, &out.counts)
 }
 
 // exchanged returns a router's exchange bytes; what others start towards it is
--- a/standin/layout/layout.go
+++ b/standin/layout/layout.go
@@ -69,8 +69,8 @@
 
 func (l Layout) address(offset int) string { return fmt.Sprintf("%s:%d", l.Host, l.Base+offset) }
 
-// Platform returns where the platform's stand-in listens.
-func (l Layout) Platform() string { return l.address(portPlatform) }
+// PlatformAddress returns where the platform's stand-in listens.
+func (l Layout) PlatformAddress() string { return l.address(portPlatform) }
 
 // EngineControl returns where the engines' controls listen.
 func (l Layout) EngineControl() string { return l.address(portEngineControl) }
@@ -167,7 +167,7 @@
 func (l Layout) common(id string, pair, peerPort int) daemon.Common {
 	return daemon.Common{
 		ID: id, AvailabilityZone: l.ZoneOf(pair), PeerAddress: l.address(peerPort + pair),
-		PlatformAddress: l.Platform(), Peers: l.Peers(), PeerToken: daemon.Token{Env: PeerTokenVariable},
+		PlatformAddress: l.PlatformAddress(), Peers: l.Peers(), PeerToken: daemon.Token{Env: PeerTokenVariable},
 	}
 }
 
@@ -250,7 +250,7 @@
 func (l Layout) Launches(dir string) []Launch {
 	file := func(name string) string { return filepath.Join(dir, name+".json") }
 	out := []Launch{
-		{"platform", "standin", []string{"platform", "--address", l.Platform(), "--vms", file("vms")}},
+		{"platform", "standin", []string{"platform", "--address", l.PlatformAddress(), "--vms", file("vms")}},
 		{"engines", "standin", []string{"engines", "--settings", file("engines")}},
 	}
 	if l.Service != "" {
