--- a/cmd/standin/steps.go
+++ b/cmd/standin/steps.go
@@ -190,7 +190,7 @@
 	})
 	time.Sleep(200 * time.Millisecond)
 	vm := victim.Members[len(victim.Members)-1].VM
-	url := "http://" + s.layout.EngineControl() + engine.PathVM + vm + "/" + string(engine.ActionKill)
+	url := "http://" + s.layout.EngineControlAddress() + engine.PathVM + vm + "/" + string(engine.ActionKill)
 	response, err := s.client.Post(url, "", nil)
 	if err != nil {
 		return "", err
--- a/cmd/standin/story.go
+++ b/cmd/standin/story.go
@@ -151,5 +151,5 @@
 
 func (s *story) record() (engine.Record, error) {
 	var out engine.Record
-	return out, s.get(s.layout.EngineControl()+engine.PathRecord, &out)
+	return out, s.get(s.layout.EngineControlAddress()+engine.PathRecord, &out)
 }
--- a/measure/downtime.go
+++ b/measure/downtime.go
@@ -98,7 +98,7 @@
 }
 
 func (d *deployment) act(vm string, action engine.Action) error {
-	response, err := d.client.Post("http://"+d.layout.EngineControl()+engine.PathVM+vm+"/"+string(action), "", nil)
+	response, err := d.client.Post("http://"+d.layout.EngineControlAddress()+engine.PathVM+vm+"/"+string(action), "", nil)
 	if err != nil {
 		return err
 	}
--- a/measure/zone.go
+++ b/measure/zone.go
@@ -210,7 +210,7 @@
 	for second := range zoneSeconds + 1 {
 		time.Sleep(time.Until(started.Add(time.Duration(second) * time.Second)))
 		var record engine.Record
-		if err := d.get(d.layout.EngineControl()+engine.PathRecord, &record); err != nil {
+		if err := d.get(d.layout.EngineControlAddress()+engine.PathRecord, &record); err != nil {
 			return err
 		}
 		total := 0
--- a/standin/layout/layout.go
+++ b/standin/layout/layout.go
@@ -72,8 +72,8 @@
 // PlatformAddress returns where the platform's stand-in listens.
 func (l Layout) PlatformAddress() string { return l.address(portPlatform) }
 
-// EngineControl returns where the engines' controls listen.
-func (l Layout) EngineControl() string { return l.address(portEngineControl) }
+// EngineControlAddress returns where the engines' controls listen.
+func (l Layout) EngineControlAddress() string { return l.address(portEngineControl) }
 
 // ServiceAddress returns where the service of a zone listens.
 func (l Layout) ServiceAddress(zone int) string { return l.address(portService + zone) }
@@ -207,7 +207,7 @@
 
 // EngineSettings returns the settings of the engines' stand-in.
 func (l Layout) EngineSettings() Engines {
-	out := Engines{ControlAddress: l.EngineControl(), Engine: l.Engine}
+	out := Engines{ControlAddress: l.EngineControlAddress(), Engine: l.Engine}
 	for _, vm := range l.VMs() {
 		if vm.Service == "" {
 			out.VMs = append(out.VMs, EngineVM{ID: vm.ID, Address: vm.Address})
