--- a/cmd/standin/examples.go
+++ b/cmd/standin/examples.go
@@ -33,12 +33,12 @@
 // examples are the two deployments at today's size.
 func examples() []layout.Layout {
 	pohjatee := example("pohjatee", 21000, []string{"tallinn", "tartu", "parnu"})
-	pohjatee.Model, pohjatee.Service, pohjatee.PerGroup, pohjatee.Replicas = "chain-advice", "rental-desk", 4, 5
+	pohjatee.Model, pohjatee.Service, pohjatee.VMsPerGroup, pohjatee.Replicas = "chain-advice", "rental-desk", 4, 5
 	pohjatee.Accounts = accounts([]string{"drivers", "hauliers", "road-crews"},
 		[]string{"depot-tartu", "depot-tallinn", "depot-parnu", "fleet-valga", "fleet-narva"}, []string{"reports", "night-jobs"})
 
 	blueMahoe := example("blue-mahoe", 22000, []string{"kingston", "portmore", "mandeville"})
-	blueMahoe.Model, blueMahoe.Service, blueMahoe.PerGroup, blueMahoe.Replicas = "cup-assistant", "returns-desk", 2, 10
+	blueMahoe.Model, blueMahoe.Service, blueMahoe.VMsPerGroup, blueMahoe.Replicas = "cup-assistant", "returns-desk", 2, 10
 	blueMahoe.Accounts = accounts([]string{"cafes", "hauliers", "depots"},
 		[]string{"cafe-kingston", "cafe-portmore", "cafe-mandeville", "schools", "events"}, []string{"ledgers", "reports"})
 	return []layout.Layout{pohjatee, blueMahoe}
--- a/cmd/standin/process_test.go
+++ b/cmd/standin/process_test.go
@@ -224,7 +224,7 @@
 func twoZones(t *testing.T) *world {
 	t.Helper()
 	return newWorld(t, layout.Layout{Zones: []string{"tartu", "parnu"}, PairsPerZone: 1,
-		Domains: [][]int{{2}, {2}}, PerGroup: 2, Replicas: 1})
+		Domains: [][]int{{2}, {2}}, VMsPerGroup: 2, Replicas: 1})
 }
 
 // A haulier's router dies while the deposit is with the service.
@@ -295,7 +295,7 @@
 // and every answer stays whole all the time.
 func TestHolderFrozenAcrossItsLapse(t *testing.T) {
 	w := newWorld(t, layout.Layout{Zones: []string{"tartu"}, PairsPerZone: 2,
-		Domains: [][]int{{7}}, PerGroup: 2, Replicas: 3})
+		Domains: [][]int{{7}}, VMsPerGroup: 2, Replicas: 3})
 	var status operator.Status
 	w.eventually("someone holds the lease", func() bool {
 		var err error
@@ -369,7 +369,7 @@
 // knows that its zone is out.
 func TestRestartedRouterLearnsFromPeersWithoutThePlatform(t *testing.T) {
 	w := newWorld(t, layout.Layout{Zones: []string{"tartu", "parnu"}, PairsPerZone: 2,
-		Domains: [][]int{{2}, {2}}, PerGroup: 2, Replicas: 1})
+		Domains: [][]int{{2}, {2}}, VMsPerGroup: 2, Replicas: 1})
 	_, err := w.operator(0).SetZone(t.Context(), operator.Submission{SubmitID: "out"}, "parnu", redwinghall.ZoneOut)
 	require.NoError(t, err)
 	w.control(w.layout.PlatformAddress(), table.PathFaults, table.Faults{Down: true})
--- a/cmd/standin/steps.go
+++ b/cmd/standin/steps.go
@@ -102,7 +102,7 @@
 		}
 		return total == len(s.layout.Zones)*s.layout.Replicas
 	})
-	return fmt.Sprintf("%d groups of %d VMs whole", total, s.layout.PerGroup), err
+	return fmt.Sprintf("%d groups of %d VMs whole", total, s.layout.VMsPerGroup), err
 }
 
 func (s *story) serve() (string, error) {
--- a/measure/deployment.go
+++ b/measure/deployment.go
@@ -32,7 +32,7 @@
 func (s shape) layout() layout.Layout {
 	l := layout.Layout{
 		Name: "measure", Host: "127.77.0.1", Base: 23000, PairsPerZone: s.nodesPerZone,
-		Model: "chain-advice", PerGroup: vmsPerGroup, Replicas: s.groupsPerZone, Engine: s.engine,
+		Model: "chain-advice", VMsPerGroup: vmsPerGroup, Replicas: s.groupsPerZone, Engine: s.engine,
 		Accounts:    redwinghall.ClientAccounts{layout.Account(measureAccount, 1, redwinghall.ClassInteractive)},
 		ModelLimits: redwinghall.Model{MaxInFlight: 512, ColdInFlight: 64, WarmAfter: 1},
 	}
--- a/measure/zone.go
+++ b/measure/zone.go
@@ -77,7 +77,7 @@
 func runZoneLoad(bin string, percent int) (*bySecond, error) {
 	s := zoneShape()
 	d, err := startServing(bin, s, func(l *layout.Layout) {
-		l.PerGroup = 1
+		l.VMsPerGroup = 1
 		l.ModelLimits = redwinghall.Model{MaxInFlight: zoneInFlight, ColdInFlight: 1, WarmAfter: 10}
 	})
 	if err != nil {
--- a/standin/layout/layout.go
+++ b/standin/layout/layout.go
@@ -45,7 +45,7 @@
 	Domains      [][]int // VMs in each fabric domain of each zone
 	Model        string
 	Service      string
-	PerGroup     int
+	VMsPerGroup  int
 	Replicas     int // in each zone
 	PairsPerZone int // routers, and controllers
 	Accounts     redwinghall.ClientAccounts
@@ -140,7 +140,7 @@
 	m := redwinghall.Manifest{
 		Name: l.Name, ClientAccounts: l.Accounts,
 		Models: []redwinghall.Model{{
-			ID: l.Model, Version: version, VMsPerReplica: l.PerGroup, AcceleratorsPerVM: 8, Replicas: replicas,
+			ID: l.Model, Version: version, VMsPerReplica: l.VMsPerGroup, AcceleratorsPerVM: 8, Replicas: replicas,
 			ClientAccounts: all, MaxInFlight: l.ModelLimits.MaxInFlight, ColdInFlight: l.ModelLimits.ColdInFlight,
 			WarmAfter: l.ModelLimits.WarmAfter,
 		}},
