--- a/cmd/standin/engines.go
+++ b/cmd/standin/engines.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	var settings layout.Engines
+	var settings layout.EngineSettings
 	if err := json.Unmarshal(data, &settings); err != nil {
 		return err
 	}
--- a/standin/layout/layout.go
+++ b/standin/layout/layout.go
@@ -192,8 +192,8 @@
 	return s.WithDefaults()
 }
 
-// Engines are the settings of the engines' stand-in.
-type Engines struct {
+// EngineSettings are the settings of the engines' stand-in.
+type EngineSettings struct {
 	ControlAddress string        `json:"control_address"`
 	Engine         engine.Config `json:"engine"`
 	VMs            []EngineVM    `json:"vms"`
@@ -206,8 +206,8 @@
 }
 
 // EngineSettings returns the settings of the engines' stand-in.
-func (l Layout) EngineSettings() Engines {
-	out := Engines{ControlAddress: l.EngineControlAddress(), Engine: l.Engine}
+func (l Layout) EngineSettings() EngineSettings {
+	out := EngineSettings{ControlAddress: l.EngineControlAddress(), Engine: l.Engine}
 	for _, vm := range l.VMs() {
 		if vm.Service == "" {
 			out.VMs = append(out.VMs, EngineVM{ID: vm.ID, Address: vm.Address})
