--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,5 +1,5 @@
-// Package standin is the root of small stand-ins for what surrounds
+// Package standin contains in-memory stand-ins for the systems around
 // redwinghall: the platform's table, model engines, plain services and the
-// network between. Tests, the demo and measurements use them; no program that
-// serves does.
+// network between them. Only tests, the demo and measurements use them;
+// production programs don't.
 package standin
--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -8,7 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ChatRequest is the part of a chat completion that the engine reads.
+// ChatRequest contains the fields of a chat completion request that the engine
+// uses.
 type ChatRequest struct {
 	Model     string            `json:"model"`
 	Messages  []json.RawMessage `json:"messages"`
@@ -17,22 +18,22 @@
 
 const defaultTokens = 16
 
-// words are what answers are made of.
+// words is the vocabulary of the generated responses.
 var words = strings.Fields("ice snow chain tyre depot road crew valga tartu pärnu cup café ledger hauler clerk return fit link hook steel")
 
-// tokens returns how many chunks the answer has.
-func (r ChatRequest) tokens() int {
+// tokenCount returns the number of chunks in the response.
+func (r ChatRequest) tokenCount() int {
 	if r.MaxTokens <= 0 {
 		return defaultTokens
 	}
 	return r.MaxTokens
 }
 
-// Token returns the text at a position of the answer to the request. It
-// follows from the model and the messages alone.
+// Token returns the text of the chunk at a position of the response. It depends
+// only on the model, the messages and the position.
 func (r ChatRequest) Token(position int) string {
 	hash := xxhash.New()
-	_, _ = hash.WriteString(r.Model) // a hash never fails
+	_, _ = hash.WriteString(r.Model) // never returns an error
 	for _, m := range r.Messages {
 		_, _ = hash.Write(m)
 	}
@@ -40,16 +41,16 @@
 	return words[hash.Sum64()%uint64(len(words))] + " "
 }
 
-// Expected returns the whole answer.
+// Expected returns the full text of the response.
 func (r ChatRequest) Expected() string {
 	var out strings.Builder
-	for i := range r.tokens() {
+	for i := range r.tokenCount() {
 		out.WriteString(r.Token(i))
 	}
 	return out.String()
 }
 
-// chunk is one streamed piece in the usual OpenAI form.
+// chunk is one event of a stream, in the OpenAI format.
 type chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -69,7 +70,7 @@
 
 func (r ChatRequest) chunkJSON(requestID string, position int) []byte {
 	choice := chunkChoice{Delta: delta{Content: r.Token(position)}}
-	if position == r.tokens()-1 {
+	if position == r.tokenCount()-1 {
 		stop := "stop"
 		choice.FinishReason = &stop
 	}
@@ -77,7 +78,7 @@
 		ID: requestID, Object: "chat.completion.chunk", Model: r.Model, Choices: []chunkChoice{choice},
 	})
 	if err != nil {
-		panic(err) // a struct of plain fields always marshals
+		panic(err) // cannot fail: the struct has only plain fields
 	}
 	return data
 }
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -4,16 +4,16 @@
 	"net/http"
 )
 
-// Paths of the fleet's controls.
+// Paths of the control API of a fleet.
 const (
 	PathRecord = "/standin/record"
 	PathVM     = "/standin/vms/"
 )
 
-// Action is what a control call does to a VM.
+// Action is an action of the control API on a VM.
 type Action string
 
-// The actions.
+// The actions correspond to the methods of VM with these names.
 const (
 	ActionKill    Action = "kill"
 	ActionRestart Action = "restart"
@@ -21,13 +21,13 @@
 	ActionThaw    Action = "thaw"
 )
 
-// Control returns the fleet's controls over HTTP.
+// Control returns the HTTP handler of the control API.
 func (f *Fleet) Control() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathRecord, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, f.Record()) })
 	mux.HandleFunc("POST "+PathVM+"{id}/{action}", func(w http.ResponseWriter, r *http.Request) {
 		vm := f.VM(r.PathValue("id"))
-		if vm == nil || !vm.act(Action(r.PathValue("action"))) {
+		if vm == nil || !vm.apply(Action(r.PathValue("action"))) {
 			http.NotFound(w, r)
 			return
 		}
@@ -36,7 +36,7 @@
 	return mux
 }
 
-func (v *VM) act(a Action) bool {
+func (v *VM) apply(a Action) bool {
 	switch a {
 	case ActionKill:
 		v.Kill()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in for model engines: each VM has an address of
-// its own, obeys orders, and as the leader of a group streams answers that
-// follow from the request alone, so that any two can be compared.
+// Package engine is a stand-in for model engines. Each VM listens on its own
+// address and executes orders. As the leader of a group it streams responses
+// that depend only on the request, so that a client can check them.
 package engine
 
 import (
@@ -15,27 +15,27 @@
 	"redwinghall"
 )
 
-// VM is one engine.
+// VM is the engine of one VM.
 type VM struct {
 	ID      string
 	fleet   *Fleet
 	address string
 
-	mu          sync.Mutex
-	startID     string
-	fencing     uint64
-	order       redwinghall.Order
-	readyAt     time.Time
-	running     int
-	completed   uint64
-	dead        bool
-	missingFrom time.Time
-	frozen      chan struct{} // closed when thawed; nil while not frozen
-	lifetime    context.Context
-	die         context.CancelFunc
-	loads       []loadSample
-	faults      StreamFaults
-	streams     int
+	mu             sync.Mutex
+	startID        string
+	fencing        uint64
+	order          redwinghall.Order
+	readyAt        time.Time
+	running        int
+	completed      uint64
+	dead           bool
+	missingFrom    time.Time     // when it was last killed, restarted or frozen; zero again after an order or Thaw
+	frozen         chan struct{} // closed by Thaw; nil while not frozen
+	lifetime       context.Context
+	cancelLifetime context.CancelFunc
+	loads          []loadSample
+	faults         StreamFaults
+	streams        int
 }
 
 type loadSample struct {
@@ -43,51 +43,52 @@
 	running int
 }
 
-// StreamFaults makes coming streams of a VM misbehave.
+// StreamFaults configures faults of the following streams of a VM.
 type StreamFaults struct {
-	// CutEvery ends every so many-th stream after CutAt chunks. 0: none.
+	// CutEvery cuts every n-th stream after CutAt chunks. 0: none.
 	CutEvery int `json:"cut_every"`
 	CutAt    int `json:"cut_at"`
-	// StallStreams makes that many coming streams silent after CutAt chunks.
+	// StallStreams is the number of streams that stall after CutAt chunks.
 	StallStreams int `json:"stall_streams"`
-	// Shuffle doubles and reorders chunks.
+	// Shuffle duplicates and reorders chunks.
 	Shuffle bool `json:"shuffle"`
 }
 
-// Address returns where the engine listens.
+// Address returns the address on which the engine listens.
 func (v *VM) Address() string { return v.address }
 
-// reset is a new process start: everything is forgotten.
-func (v *VM) reset() {
+// resetState sets the state of a newly started process.
+func (v *VM) resetState() {
 	v.startID = rand.Text()
 	v.fencing = 0
 	v.order = redwinghall.Order{}
 	v.running, v.completed = 0, 0
 	v.readyAt = time.Time{}
 	v.loads = nil
-	v.lifetime, v.die = context.WithCancel(context.Background())
+	v.lifetime, v.cancelLifetime = context.WithCancel(context.Background())
 }
 
-// Kill ends the engine's process: streams are cut and calls are refused.
+// Kill simulates the death of the engine's process: it cuts all streams and
+// aborts new requests without a response.
 func (v *VM) Kill() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.dead = true
 	v.missingFrom = time.Now()
-	v.die()
+	v.cancelLifetime()
 }
 
-// Restart starts the engine's process anew under the same address.
+// Restart simulates a restart of the engine's process at the same address.
 func (v *VM) Restart() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.die()
+	v.cancelLifetime()
 	v.dead = false
-	v.reset()
+	v.resetState()
 	v.missingFrom = time.Now()
 }
 
-// Freeze stops every answer until Thaw.
+// Freeze suspends the engine: it sends nothing until Thaw.
 func (v *VM) Freeze() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -97,7 +98,7 @@
 	}
 }
 
-// Thaw ends a freeze.
+// Thaw resumes a frozen engine.
 func (v *VM) Thaw() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -108,15 +109,15 @@
 	}
 }
 
-// SetFaults replaces the faults of coming streams.
+// SetFaults replaces the faults of the following streams.
 func (v *VM) SetFaults(f StreamFaults) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.faults = f
 }
 
-// wait holds a call while the VM is frozen, and reports whether it is alive.
-func (v *VM) wait(ctx context.Context) bool {
+// waitThawed blocks while the VM is frozen and reports whether it is alive.
+func (v *VM) waitThawed(ctx context.Context) bool {
 	for {
 		v.mu.Lock()
 		frozen, dead := v.frozen, v.dead
@@ -134,18 +135,18 @@
 
 func (v *VM) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/report", v.report)
-	mux.HandleFunc("POST /v1/orders", v.obey)
-	mux.HandleFunc("POST /v1/chat/completions", v.chat)
+	mux.HandleFunc("GET /v1/report", v.handleReport)
+	mux.HandleFunc("POST /v1/orders", v.handleOrder)
+	mux.HandleFunc("POST /v1/chat/completions", v.handleChat)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !v.wait(r.Context()) {
-			panic(http.ErrAbortHandler) // a dead process has no answer
+		if !v.waitThawed(r.Context()) {
+			panic(http.ErrAbortHandler) // a dead process sends no response
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-func (v *VM) report(w http.ResponseWriter, _ *http.Request) {
+func (v *VM) handleReport(w http.ResponseWriter, _ *http.Request) {
 	v.mu.Lock()
 	now := time.Now()
 	out := redwinghall.Report{
@@ -158,7 +159,7 @@
 	writeJSON(w, out)
 }
 
-// laggedLoad returns the load as it was ReportLag ago.
+// laggedLoad returns the load as of ReportLag ago.
 func (v *VM) laggedLoad(now time.Time) int {
 	if v.fleet.config.ReportLag == 0 {
 		return v.running
@@ -175,13 +176,13 @@
 	return load
 }
 
-func (v *VM) noteLoad() {
+func (v *VM) recordLoad() {
 	if v.fleet.config.ReportLag > 0 {
 		v.loads = append(v.loads, loadSample{at: time.Now(), running: v.running})
 	}
 }
 
-func (v *VM) obey(w http.ResponseWriter, r *http.Request) {
+func (v *VM) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order redwinghall.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -205,13 +206,14 @@
 	writeJSON(w, struct{}{})
 }
 
-// missing returns since when a member of the leader's group has not been
-// there for it: dead, frozen, restarted or ordered elsewhere.
-func (v *VM) missing(order redwinghall.Order) (since time.Time, any bool) {
+// missingMember reports whether a member of the leader's group is not available
+// to it (dead, frozen, restarted or ordered to another group), and returns the
+// earliest time since which one has been missing.
+func (v *VM) missingMember(order redwinghall.Order) (since time.Time, any bool) {
 	for _, m := range order.Members {
 		other := v.fleet.VM(m.VM)
 		if other == nil {
-			continue // the record covers only the engines of this fleet
+			continue // only VMs of this fleet are known here
 		}
 		other.mu.Lock()
 		away := other.dead || other.frozen != nil || other.order.Group != order.Group
@@ -227,9 +229,9 @@
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		return // the client is gone
+		return // the client has disconnected
 	}
 }
 
-// String names the VM and where it listens.
+// String returns the VM's ID and address.
 func (v *VM) String() string { return fmt.Sprintf("%s at %s", v.ID, v.address) }
--- a/standin/engine/fleet.go
+++ b/standin/engine/fleet.go
@@ -11,25 +11,29 @@
 	"redwinghall/kernel"
 )
 
-// Config says how the engines of a fleet behave.
+// Config configures the engines of a fleet.
 type Config struct {
-	// FirstToken and TokenDelay pace a stream.
+	// FirstToken is the time to first token, TokenDelay the time between
+	// tokens.
 	FirstToken redwinghall.Duration `json:"first_token"`
 	TokenDelay redwinghall.Duration `json:"token_delay"`
-	// LoadTime is how long a VM takes to load an ordered model.
+	// LoadTime is how long a VM takes to load a model.
 	LoadTime redwinghall.Duration `json:"load_time"`
-	// IgnoreFencing makes the engines obey any order.
+	// IgnoreFencing makes the engines execute orders with a stale fencing
+	// number.
 	IgnoreFencing bool `json:"ignore_fencing"`
-	// ColdInFlight is what a leader bears until it has completed WarmAfter
-	// requests; above it the engine falls over and starts again. 0: no limit.
+	// ColdInFlight limits the concurrent requests of a leader that has just
+	// started. The limit rises linearly to MaxInFlight over the first WarmAfter
+	// completed requests; there is none after that. An engine above its limit
+	// restarts. 0: no limit.
 	ColdInFlight int `json:"cold_in_flight"`
 	WarmAfter    int `json:"warm_after"`
 	MaxInFlight  int `json:"max_in_flight"`
-	// ReportLag is how old the load in a report is.
+	// ReportLag is the age of the load in a report.
 	ReportLag redwinghall.Duration `json:"report_lag"`
 }
 
-// Fleet is a set of engines and the record of what they did.
+// Fleet is a set of engines with common counters.
 type Fleet struct {
 	config Config
 	mu     sync.Mutex
@@ -37,19 +41,21 @@
 	record Record
 }
 
-// Record counts what the engines were asked to do, and in what state they did it.
+// Record contains the counters of a fleet.
 type Record struct {
 	Requests  int `json:"requests"`
 	Completed int `json:"completed"`
-	// Incomplete counts requests that began while a member was missing, with
-	// the longest time that it had been missing then.
+	// Incomplete counts requests that started while a member of the group was
+	// missing; LongestIncomplete is the longest time for which one had been
+	// missing at that moment.
 	Incomplete        int                  `json:"incomplete"`
 	LongestIncomplete redwinghall.Duration `json:"longest_incomplete"`
-	// Overloads counts how often a cold engine fell over.
+	// Overloads counts restarts of cold engines because of too many concurrent
+	// requests.
 	Overloads   int `json:"overloads"`
-	StaleOrders int `json:"stale_orders"` // refused
+	StaleOrders int `json:"stale_orders"` // rejected because of a stale fencing number
 	Orders      int `json:"orders"`
-	// ByVM counts the requests that each leader began.
+	// ByVM counts started requests by leader.
 	ByVM map[string]int `json:"by_vm"`
 }
 
@@ -58,7 +64,7 @@
 	return &Fleet{config: c, vms: map[string]*VM{}, record: Record{ByVM: map[string]int{}}}
 }
 
-// Record returns what was counted so far.
+// Record returns a copy of the counters.
 func (f *Fleet) Record() Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,21 +79,22 @@
 	change(&f.record)
 }
 
-// VM returns a VM by id.
+// VM returns the VM with an ID, or nil.
 func (f *Fleet) VM(id string) *VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.vms[id]
 }
 
-// Start runs a VM's engine at address in the group. Port 0 chooses one.
+// Start runs a VM's engine at address until the group g stops. Port 0 selects a
+// free port.
 func (f *Fleet) Start(g *kernel.Group, id, address string) (*VM, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	vm := &VM{ID: id, fleet: f, address: listener.Addr().String()}
-	vm.reset()
+	vm.resetState()
 	server := &http.Server{Handler: vm.handler(), ReadHeaderTimeout: 5 * time.Second}
 	f.mu.Lock()
 	f.vms[id] = vm
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -12,7 +12,7 @@
 	"redwinghall"
 )
 
-// stream is one answer on its way.
+// stream is a streamed response in progress.
 type stream struct {
 	vm      *VM
 	w       http.ResponseWriter
@@ -23,14 +23,14 @@
 	ctx     context.Context
 }
 
-// chat streams an answer from the position after Last-Event-ID.
-func (v *VM) chat(w http.ResponseWriter, r *http.Request) {
+// handleChat streams a response, starting after the position in Last-Event-ID.
+func (v *VM) handleChat(w http.ResponseWriter, r *http.Request) {
 	var request ChatRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	lifetime, refused := v.begin(request)
+	lifetime, refused := v.admit(request)
 	if refused != "" {
 		http.Error(w, refused, http.StatusServiceUnavailable)
 		return
@@ -43,22 +43,22 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	s := &stream{
 		vm: v, w: w, flush: http.NewResponseController(w).Flush,
-		request: request, id: r.Header.Get("X-Request-Id"), faults: v.takeFaults(), ctx: ctx,
+		request: request, id: r.Header.Get("X-Request-Id"), faults: v.nextFaults(), ctx: ctx,
 	}
 	complete := s.run(resumeFrom(r))
-	v.end(lifetime, complete)
+	v.finish(lifetime, complete)
 	if !complete {
-		panic(http.ErrAbortHandler) // the connection is cut, as by a dead process
+		panic(http.ErrAbortHandler) // closes the connection as a dead process does
 	}
 }
 
-// begin admits a request, or says why not, and records whether the group was
-// complete.
-func (v *VM) begin(request ChatRequest) (context.Context, string) {
+// admit admits a request or returns the reason for its rejection. It records
+// whether a member of the group was missing.
+func (v *VM) admit(request ChatRequest) (context.Context, string) {
 	v.mu.Lock()
 	order := v.order
 	v.mu.Unlock()
-	since, incomplete := v.missing(order)
+	since, incomplete := v.missingMember(order)
 
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -74,19 +74,19 @@
 		}
 	})
 	v.running++
-	v.noteLoad()
-	if bears := v.bears(); bears > 0 && v.running > bears {
+	v.recordLoad()
+	if limit := v.maxConcurrent(); limit > 0 && v.running > limit {
 		v.fleet.count(func(r *Record) { r.Overloads++ })
-		v.die()
-		v.reset()
+		v.cancelLifetime()
+		v.resetState()
 		v.missingFrom = time.Now()
 		return nil, "overloaded after a cold start"
 	}
 	return v.lifetime, ""
 }
 
-// bears returns how many requests the engine bears now; 0: any number.
-func (v *VM) bears() int {
+// maxConcurrent returns the current limit of concurrent requests. 0: no limit.
+func (v *VM) maxConcurrent() int {
 	c := v.fleet.config
 	if c.ColdInFlight == 0 || int(v.completed) >= c.WarmAfter {
 		return 0
@@ -95,21 +95,21 @@
 	return c.ColdInFlight + rise
 }
 
-func (v *VM) end(lifetime context.Context, complete bool) {
+func (v *VM) finish(lifetime context.Context, complete bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if lifetime.Err() != nil {
-		return // another process start counts anew
+		return // the process was restarted since, and its counters were reset
 	}
 	v.running--
-	v.noteLoad()
+	v.recordLoad()
 	if complete {
 		v.completed++
 		v.fleet.count(func(r *Record) { r.Completed++ })
 	}
 }
 
-func (v *VM) takeFaults() StreamFaults {
+func (v *VM) nextFaults() StreamFaults {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	f := v.faults
@@ -121,7 +121,7 @@
 	return f
 }
 
-// resumeFrom returns the position after the Last-Event-ID.
+// resumeFrom returns the position after the one in Last-Event-ID.
 func resumeFrom(r *http.Request) int {
 	_, position, ok := strings.Cut(r.Header.Get("Last-Event-Id"), "/")
 	n, err := strconv.Atoi(position)
@@ -131,9 +131,10 @@
 	return n + 1
 }
 
-// run writes the rest of the answer and reports whether it was completed.
+// run writes the response from a position on and reports whether it was
+// completed.
 func (s *stream) run(from int) bool {
-	last := s.request.tokens()
+	last := s.request.tokenCount()
 	if !s.pause(s.vm.fleet.config.FirstToken.Std()) {
 		return false
 	}
@@ -145,7 +146,7 @@
 			<-s.ctx.Done()
 			return false
 		}
-		if !s.vm.wait(s.ctx) || !s.emit(position) {
+		if !s.vm.waitThawed(s.ctx) || !s.emit(position) {
 			return false
 		}
 		if position < last && !s.pause(s.vm.fleet.config.TokenDelay.Std()) {
@@ -155,10 +156,10 @@
 	return true
 }
 
-// emit sends one chunk, or the end mark after the last one. With Shuffle an
-// even chunk is sent after the odd one that follows it, and twice.
+// emit sends one chunk, or [DONE] after the last one. With Shuffle it sends each
+// even chunk after the odd one that follows it, and twice.
 func (s *stream) emit(position int) bool {
-	if !s.faults.Shuffle || position >= s.request.tokens()-1 {
+	if !s.faults.Shuffle || position >= s.request.tokenCount()-1 {
 		return s.send(position)
 	}
 	if position%2 == 0 {
@@ -169,10 +170,10 @@
 
 func (s *stream) send(position int) bool {
 	data := []byte("[DONE]")
-	if position < s.request.tokens() {
+	if position < s.request.tokenCount() {
 		data = s.request.chunkJSON(s.id, position)
 	}
-	if s.faults.Shuffle && position == s.request.tokens()-1 && position%2 == 1 {
+	if s.faults.Shuffle && position == s.request.tokenCount()-1 && position%2 == 1 {
 		s.write(position-1, s.request.chunkJSON(s.id, position-1))
 	}
 	return s.write(position, data)
--- a/standin/layout/layout.go
+++ b/standin/layout/layout.go
@@ -1,6 +1,6 @@
-// Package layout lays out a deployment on loopback: which processes there are,
-// where they listen, and their settings. The examples, the demo, tests with
-// real processes and the measurements share it.
+// Package layout describes a deployment on loopback: its processes, their
+// addresses and their settings. The examples, the demo, tests with real
+// processes and the measurements use it.
 package layout
 
 import (
@@ -18,7 +18,8 @@
 	"redwinghall/standin/engine"
 )
 
-// Offsets of ports from a layout's base.
+// Offsets from a layout's base port. To all but the first two, the index of the
+// zone, pair or worker VM is added.
 const (
 	portPlatform       = 0
 	portEngineControl  = 1
@@ -30,33 +31,35 @@
 	portEngine         = 500
 )
 
-// Names of the environment variables that carry the tokens.
+// Environment variables that contain the tokens.
 const (
 	PeerTokenVariable     = "RWH_PEER_TOKEN"
 	OperatorTokenVariable = "RWH_OPERATOR_TOKEN"
 )
 
-// Layout is one deployment on loopback.
+// Layout describes a deployment on loopback. Pair i consists of a router and a
+// controller of the same zone.
 type Layout struct {
 	Name         string
 	Host         string
 	Base         int // first port
 	Zones        []string
-	Domains      [][]int // VMs in each fabric domain of each zone
+	Domains      [][]int // number of VMs by zone and fabric domain
 	Model        string
 	Service      string
 	VMsPerGroup  int
-	Replicas     int // in each zone
-	PairsPerZone int // routers, and controllers
+	Replicas     int // per zone
+	PairsPerZone int // pairs of a router and a controller
 	Accounts     redwinghall.ClientAccounts
 	Engine       engine.Config
-	ModelLimits  redwinghall.Model // its limits are used, nothing else
-	// TuneRouter and TuneController change settings where they are not nil.
+	ModelLimits  redwinghall.Model // only MaxInFlight, ColdInFlight and WarmAfter are used
+	// TuneRouter and TuneController, if set, modify the settings of each router
+	// and controller.
 	TuneRouter     func(s *daemon.RouterSettings)
 	TuneController func(s *daemon.ControllerSettings)
 }
 
-// Account returns a client account whose API key is DemoKey of its id.
+// Account returns a client account with the API key DemoKey(id).
 func Account(id string, weight int, class redwinghall.Class) redwinghall.ClientAccount {
 	sum := sha256.Sum256([]byte(DemoKey(id)))
 	return redwinghall.ClientAccount{
@@ -64,43 +67,46 @@
 	}.WithDefaults()
 }
 
-// DemoKey returns the API key of a client account of a layout.
+// DemoKey returns the API key of a client account.
 func DemoKey(account string) string { return "demo-key-" + account }
 
 func (l Layout) address(offset int) string { return fmt.Sprintf("%s:%d", l.Host, l.Base+offset) }
 
-// PlatformAddress returns where the platform's stand-in listens.
+// PlatformAddress returns the address of the platform stand-in.
 func (l Layout) PlatformAddress() string { return l.address(portPlatform) }
 
-// EngineControlAddress returns where the engines' controls listen.
+// EngineControlAddress returns the address of the engines' control API.
 func (l Layout) EngineControlAddress() string { return l.address(portEngineControl) }
 
-// ServiceAddress returns where the service of a zone listens.
+// ServiceAddress returns the address of a zone's service.
 func (l Layout) ServiceAddress(zone int) string { return l.address(portService + zone) }
 
-// CallerAddress returns where the router of a pair takes callers' requests.
+// CallerAddress returns the address on which a pair's router accepts requests of
+// callers.
 func (l Layout) CallerAddress(pair int) string { return l.address(portCaller + pair) }
 
-// OperatorAddress returns where the controller of a pair takes operators' requests.
+// OperatorAddress returns the address on which a pair's controller accepts
+// requests of operators.
 func (l Layout) OperatorAddress(pair int) string { return l.address(portOperator + pair) }
 
-// Pairs returns how many routers, and controllers, there are.
+// Pairs returns the number of pairs of a router and a controller.
 func (l Layout) Pairs() int { return l.PairsPerZone * len(l.Zones) }
 
 // ZoneOf returns the zone of a pair.
 func (l Layout) ZoneOf(pair int) string { return l.Zones[pair/l.PairsPerZone] }
 
-// RouterID returns the id of a pair's router.
+// RouterID returns the ID of a pair's router.
 func (l Layout) RouterID(pair int) string {
 	return fmt.Sprintf("router-%s-%02d", l.ZoneOf(pair), pair%l.PairsPerZone+1)
 }
 
-// ControllerID returns the id of a pair's controller.
+// ControllerID returns the ID of a pair's controller.
 func (l Layout) ControllerID(pair int) string {
 	return fmt.Sprintf("controller-%s-%02d", l.ZoneOf(pair), pair%l.PairsPerZone+1)
 }
 
-// VMs returns the workers and, where there is a service, its VMs.
+// VMs returns the worker VMs and, if the layout has a service, one VM per zone
+// for it.
 func (l Layout) VMs() redwinghall.VMs {
 	var out redwinghall.VMs
 	port := portEngine
@@ -127,7 +133,8 @@
 	return out
 }
 
-// Manifest returns a manifest that uses all zones.
+// Manifest returns a manifest with one model, which all accounts may use and
+// which has replicas in all zones.
 func (l Layout) Manifest(version string) redwinghall.Manifest {
 	var all []string
 	for _, a := range l.Accounts {
@@ -151,7 +158,7 @@
 	return m.WithDefaults()
 }
 
-// Peers returns every router and controller.
+// Peers returns all routers and controllers as peers.
 func (l Layout) Peers() []peer.Member {
 	var out []peer.Member
 	for i := range l.Pairs() {
@@ -164,7 +171,7 @@
 	return out
 }
 
-func (l Layout) common(id string, pair, peerPort int) daemon.Common {
+func (l Layout) commonSettings(id string, pair, peerPort int) daemon.Common {
 	return daemon.Common{
 		ID: id, AvailabilityZone: l.ZoneOf(pair), PeerAddress: l.address(peerPort + pair),
 		PlatformAddress: l.PlatformAddress(), Peers: l.Peers(), PeerToken: daemon.Token{Env: PeerTokenVariable},
@@ -173,7 +180,7 @@
 
 // Router returns the settings of a pair's router.
 func (l Layout) Router(pair int) daemon.RouterSettings {
-	s := daemon.RouterSettings{Common: l.common(l.RouterID(pair), pair, portRouterPeer), CallerAddress: l.CallerAddress(pair)}
+	s := daemon.RouterSettings{Common: l.commonSettings(l.RouterID(pair), pair, portRouterPeer), CallerAddress: l.CallerAddress(pair)}
 	if l.TuneRouter != nil {
 		l.TuneRouter(&s)
 	}
@@ -183,7 +190,7 @@
 // Controller returns the settings of a pair's controller.
 func (l Layout) Controller(pair int) daemon.ControllerSettings {
 	s := daemon.ControllerSettings{
-		Common:          l.common(l.ControllerID(pair), pair, portControllerPeer),
+		Common:          l.commonSettings(l.ControllerID(pair), pair, portControllerPeer),
 		OperatorAddress: l.OperatorAddress(pair), OperatorToken: daemon.Token{Env: OperatorTokenVariable},
 	}
 	if l.TuneController != nil {
@@ -192,20 +199,20 @@
 	return s.WithDefaults()
 }
 
-// EngineSettings are the settings of the engines' stand-in.
+// EngineSettings contains the settings of the engines stand-in.
 type EngineSettings struct {
 	ControlAddress string        `json:"control_address"`
 	Engine         engine.Config `json:"engine"`
 	VMs            []EngineVM    `json:"vms"`
 }
 
-// EngineVM is one engine and where it listens.
+// EngineVM is an engine and its listen address.
 type EngineVM struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 }
 
-// EngineSettings returns the settings of the engines' stand-in.
+// EngineSettings returns the settings of the engines stand-in.
 func (l Layout) EngineSettings() EngineSettings {
 	out := EngineSettings{ControlAddress: l.EngineControlAddress(), Engine: l.Engine}
 	for _, vm := range l.VMs() {
@@ -216,7 +223,8 @@
 	return out
 }
 
-// Write writes all settings as JSON files into a folder.
+// Write writes the settings of all processes, the list of VMs and the manifest
+// as JSON files into a folder.
 func (l Layout) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return err
@@ -238,15 +246,15 @@
 	return nil
 }
 
-// Launch is one process of a deployment.
+// Launch is the command line of one process of a deployment.
 type Launch struct {
 	Name    string
 	Program string
 	Args    []string
 }
 
-// Launches returns every process in the order in which to start them; dir
-// holds the settings.
+// Launches returns the command lines of all processes in the order in which to
+// start them. The folder dir contains the settings.
 func (l Layout) Launches(dir string) []Launch {
 	file := func(name string) string { return filepath.Join(dir, name+".json") }
 	out := []Launch{
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,5 +1,5 @@
-// Package link is a stand-in for the network between two ends: a TCP link
-// that delays, cuts, or swallows silently.
+// Package link is a stand-in for the network: a TCP proxy that can delay data,
+// drop it silently, and close or reset connections.
 package link
 
 import (
@@ -11,7 +11,7 @@
 	"redwinghall/kernel"
 )
 
-// Mode is what the link does with bytes.
+// Mode is what a link does with connections and data.
 type Mode string
 
 // The modes of a link.
@@ -19,12 +19,12 @@
 	Pass Mode = "pass"
 	// Cut closes all connections and refuses new ones.
 	Cut Mode = "cut"
-	// Blackhole keeps the connections that are open and delivers nothing more on
-	// them, like a middle box that has lost track; new connections work.
+	// Blackhole keeps the existing connections open and drops all their data, as a
+	// middlebox does that lost its connection state. New connections work.
 	Blackhole Mode = "swallow"
-	// Reset ends all connections with a reset; new ones work.
+	// Reset closes all connections with a TCP reset. New connections work.
 	Reset Mode = "reset"
-	// OneWay delivers what callers send, and nothing of what comes back.
+	// OneWay forwards data from the client and drops data from the target.
 	OneWay Mode = "one_way"
 )
 
@@ -40,12 +40,13 @@
 }
 
 type pair struct {
-	a, b      net.Conn
-	swallowed bool
-	ended     int // directions; after both the pair is forgotten
+	a, b       net.Conn
+	blackholed bool
+	ended      int // number of directions that have ended; the pair is deleted after both
 }
 
-// New listens on address and forwards to target until the group stops.
+// New starts a link that listens on address and forwards to target until the
+// group stops.
 func New(g *kernel.Group, address, target string) (*Link, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -61,10 +62,11 @@
 	return l, nil
 }
 
-// Address returns where the link listens.
+// Address returns the address on which the link listens.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set changes what the link does from now on.
+// Set changes the mode and the delay, which is added to each read. Cut, Blackhole
+// and Reset also act on the existing connections.
 func (l *Link) Set(mode Mode, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,18 +77,18 @@
 			_ = p.a.Close()
 			_ = p.b.Close()
 		case Blackhole:
-			p.swallowed = true
+			p.blackholed = true
 		case Reset:
 			p.reset()
 		}
 	}
 }
 
-// reset ends both connections without a proper close.
+// reset closes both connections with a TCP reset.
 func (p *pair) reset() {
 	for _, conn := range []net.Conn{p.a, p.b} {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // closing sends a reset then
+			_ = tcp.SetLinger(0) // makes Close send a reset
 		}
 		_ = conn.Close()
 	}
@@ -122,7 +124,7 @@
 	}
 }
 
-// add counts a pair in, or closes it when the link was cut in the meantime.
+// add registers a pair, or closes it if the link was cut in the meantime.
 func (l *Link) add(p *pair) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,7 +139,7 @@
 
 const bufferSize = 32 << 10
 
-// copy moves bytes one way until an end closes.
+// copy forwards one direction until either connection is closed.
 func (l *Link) copy(p *pair, to, from net.Conn) {
 	buffer := make([]byte, bufferSize)
 	for {
@@ -146,9 +148,9 @@
 			break
 		}
 		l.mu.Lock()
-		delay, swallowed := l.delay, p.swallowed || (l.mode == OneWay && from == p.b)
+		delay, drop := l.delay, p.blackholed || (l.mode == OneWay && from == p.b)
 		l.mu.Unlock()
-		if swallowed {
+		if drop {
 			continue
 		}
 		if delay > 0 {
@@ -159,14 +161,14 @@
 		}
 	}
 	l.mu.Lock()
-	swallowed := p.swallowed
+	blackholed := p.blackholed
 	p.ended++
 	if p.ended == 2 {
 		delete(l.conns, p)
 	}
 	l.mu.Unlock()
-	if !swallowed {
+	if !blackholed {
 		_ = to.Close()
 	}
-	_ = from.Close() // the other direction may have closed it
+	_ = from.Close() // the other direction may have closed it already
 }
--- a/standin/load/load.go
+++ b/standin/load/load.go
@@ -1,4 +1,5 @@
-// Package load sends requests as callers do and checks every answer.
+// Package load is a load generator: it sends chat completions as callers do
+// and checks every response.
 package load
 
 import (
@@ -19,31 +20,31 @@
 	"redwinghall/standin/engine"
 )
 
-// Config says what to send.
+// Config configures a run of the load generator.
 type Config struct {
-	Routers  []string // host:port of caller listeners, used in turn
+	Routers  []string // host:port of caller listeners, used round-robin
 	Key      string   // API key
 	Model    string
 	Requests int
-	Workers  int
-	Tokens   int
-	Timeout  time.Duration
-	Seed     int
+	Workers  int           // concurrent requests
+	Tokens   int           // chunks in each response
+	Timeout  time.Duration // of one request
+	Seed     int           // part of each request's message
 }
 
-// Result is what came back.
+// Result counts the outcomes of the requests of a run.
 type Result struct {
 	Sent    int            `json:"sent"`
-	Correct int            `json:"whole"`   // complete and equal to what the engine must say
-	Wrong   int            `json:"wrong"`   // complete and different
-	Refused map[string]int `json:"refused"` // by code
-	Failed  int            `json:"failed"`  // no answer, or one that was not complete
+	Correct int            `json:"whole"`   // complete and equal to the expected response
+	Wrong   int            `json:"wrong"`   // complete, but different from the expected response
+	Refused map[string]int `json:"refused"` // by error code
+	Failed  int            `json:"failed"`  // no response, or an incomplete one
 
 	FirstChunk []time.Duration `json:"-"`
 }
 
-// Quantile returns the time to first chunk that a share of the requests had
-// at most.
+// Quantile returns the q-quantile of the time to first chunk over the correct
+// responses.
 func (r Result) Quantile(q float64) time.Duration {
 	if len(r.FirstChunk) == 0 {
 		return 0
@@ -53,19 +54,20 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// String is one line for people.
+// String returns the result as one line of text.
 func (r Result) String() string {
 	return fmt.Sprintf("sent %d, whole %d, wrong %d, failed %d, refused %v, first chunk p50 %s p95 %s",
 		r.Sent, r.Correct, r.Wrong, r.Failed, r.Refused,
 		r.Quantile(0.5).Round(time.Microsecond), r.Quantile(0.95).Round(time.Microsecond))
 }
 
-// NewClient returns an HTTP client for callers.
+// NewClient returns an HTTP client that keeps enough idle connections for many
+// workers.
 func NewClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 }
 
-// Run sends the requests from a number of workers.
+// Run sends c.Requests requests from c.Workers workers and returns the result.
 func Run(ctx context.Context, c Config) Result {
 	client := NewClient()
 	result := Result{Refused: map[string]int{}}
@@ -108,29 +110,30 @@
 	}
 }
 
-// Response is one streamed answer.
+// Response is the response to one streamed request.
 type Response struct {
 	Text  string
-	Want  string
-	Code  string // of a refusal
+	Want  string // expected text
+	Code  string // error code, if the request was refused
 	Err   error
-	First time.Duration // to the first chunk
+	First time.Duration // time to first chunk
 }
 
-var errIncomplete = errors.New("the answer has no end mark")
+var errIncomplete = errors.New("stream ended before the [DONE] event")
 
-// Body returns the request body number i, and what the engine must answer.
+// Body returns the body of request number i and the expected text of the
+// response.
 func Body(c Config, i int) (body []byte, want string) {
 	message := fmt.Sprintf(`{"role":"user","content":"seed %d request %d"}`, c.Seed, i)
 	body = []byte(fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[%s]}`, c.Model, c.Tokens, message))
 	var request engine.ChatRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		panic(err) // the body is made above
+		panic(err) // the body above is valid JSON
 	}
 	return body, request.Expected()
 }
 
-// Stream sends request number i and reads its streamed answer.
+// Stream sends request number i and reads the streamed response.
 func Stream(ctx context.Context, client *http.Client, c Config, i int) Response {
 	body, want := Body(c, i)
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
@@ -163,12 +166,12 @@
 	}
 	var body caller.Refusal
 	if err := json.Unmarshal(data, &body); err != nil || body.Error.Code == "" {
-		return Response{Err: fmt.Errorf("status %d without a code", response.StatusCode)}
+		return Response{Err: fmt.Errorf("status %d without an error code", response.StatusCode)}
 	}
 	return Response{Code: string(body.Error.Code)}
 }
 
-// streamChunk is the part of a chunk that holds text or an error.
+// streamChunk contains the fields of a chunk that hold text or an error.
 type streamChunk struct {
 	Choices []struct {
 		Delta struct {
--- a/standin/passes/passes.go
+++ b/standin/passes/passes.go
@@ -1,6 +1,6 @@
-// Package passes is a stand-in for a group of model engines, in virtual time:
-// it works in passes of a few token steps, in which writing requests advance
-// together and waiting prompts are read in pieces.
+// Package passes simulates a group of model engines with continuous batching, in
+// virtual time. A pass consists of a few decode steps: requests in the decode
+// phase advance together, and prompts are read in chunks (chunked prefill).
 package passes
 
 import (
@@ -9,60 +9,61 @@
 	"redwinghall/fleet"
 )
 
-// Request is one stream at a group.
+// Request is one streamed request.
 type Request struct {
-	PromptTokens int // tokens to read
-	AnswerTokens int // tokens to write
-	// OnEvent is told of each event, and whether it is the last.
+	PromptTokens int // tokens to prefill
+	AnswerTokens int // tokens to decode
+	// OnEvent is called for each event of the stream.
 	OnEvent func(at time.Time, last bool)
 
-	unread  int
-	written int
+	unreadTokens  int
+	writtenTokens int
 }
 
-// Group is a stand-in group. It isn't safe for several goroutines.
+// Group is a simulated group. It is not safe for concurrent use.
 type Group struct {
-	engine  *fleet.Engine
-	pace    float64
-	running []*Request
-	waiting []*Request
-	passEnd time.Time
-	busy    bool
-	// Stalled groups accept requests, and nothing moves.
+	engine     *fleet.Engine
+	timeFactor float64
+	running    []*Request
+	waiting    []*Request
+	passEnd    time.Time
+	busy       bool
+	// Stalled makes the group accept requests and never advance them.
 	Stalled bool
 }
 
 // NewGroup returns an idle group.
 func NewGroup(engine *fleet.Engine, model fleet.Model) *Group {
-	return &Group{engine: engine, pace: model.TimeFactor}
+	return &Group{engine: engine, timeFactor: model.TimeFactor}
 }
 
-// Load returns how many requests run and wait.
+// Load returns the number of running and of waiting requests.
 func (g *Group) Load() (running, waiting int) { return len(g.running), len(g.waiting) }
 
-// Send hands the group a request at now.
+// Send adds a request to the group's queue at now.
 func (g *Group) Send(now time.Time, r *Request) {
-	r.unread = r.PromptTokens
+	r.unreadTokens = r.PromptTokens
 	g.waiting = append(g.waiting, r)
 	if !g.busy {
 		g.startPass(now)
 	}
 }
 
-// Next returns when the group's present pass ends.
+// Next returns the end of the current pass, and false if none will end.
 func (g *Group) Next() (time.Time, bool) { return g.passEnd, g.busy && !g.Stalled }
 
-// EndPass ends the present pass: writers get an event, and the next pass starts.
+// EndPass ends the current pass: each request in the decode phase gets an event,
+// and the next pass starts if requests are left.
 func (g *Group) EndPass() {
 	now := g.passEnd
 	var still []*Request
 	for _, r := range g.running {
-		if r.unread > 0 {
+		if r.unreadTokens > 0 {
 			still = append(still, r)
 			continue
 		}
-		r.written += g.engine.Stride
-		last := r.written >= r.AnswerTokens
+		r.writtenTokens += g.engine.Stride
+		last := r.writtenTokens >= r.AnswerTokens
 		r.OnEvent(now, last)
 		if !last {
 			still = append(still, r)
@@ -84,24 +85,25 @@
 	g.passEnd = now.Add(g.passTime())
 }
 
-// passTime reads prompts as far as the pass's steps allow, and returns how long the pass takes.
+// passTime prefills prompts up to the budget of the pass and returns the duration
+// of the pass.
 func (g *Group) passTime() time.Duration {
 	writers, context := 0, 0
 	for _, r := range g.running {
-		if r.unread == 0 {
+		if r.unreadTokens == 0 {
 			writers++
-			context += r.PromptTokens + r.written
+			context += r.PromptTokens + r.writtenTokens
 		}
 	}
 	budget := g.engine.Chunk * g.engine.Stride
 	read := 0
 	for _, r := range g.running {
-		n := min(r.unread, budget-read)
-		r.unread -= n
+		n := min(r.unreadTokens, budget-read)
+		r.unreadTokens -= n
 		read += n
 	}
 	step := float64(g.engine.Step) + float64(writers)*float64(g.engine.PerSequence) +
 		float64(context)/1000*float64(g.engine.PerThousandContext)
 	reading := float64(read) / g.engine.ReadPerSecond * float64(time.Second)
-	return time.Duration(g.pace * (float64(g.engine.Stride)*step + reading))
+	return time.Duration(g.timeFactor * (float64(g.engine.Stride)*step + reading))
 }
--- a/standin/process/process.go
+++ b/standin/process/process.go
@@ -1,6 +1,6 @@
-// Package process starts, freezes and ends processes on this machine, for the
-// demo, the measurements and tests with real processes. It ends only what it
-// started.
+// Package process starts, suspends and stops local processes for the demo, the
+// measurements and tests with real processes. It signals only processes that
+// it started.
 package process
 
 import (
@@ -17,39 +17,41 @@
 	"redwinghall/kernel"
 )
 
-// stopTimeout is how long a process may take after SIGTERM.
+// stopTimeout is how long a process may take to exit after SIGTERM.
 const stopTimeout = 60 * time.Second
 
-// ErrKilled says that a process outlasted its grace.
+// ErrKilled reports that a process did not exit within its grace period and
+// was killed.
 var ErrKilled = errors.New("killed")
 
-// Process is one process that was started.
+// Process is a process started by a Set.
 type Process struct {
 	Name    string
 	program string
 	cmd     *exec.Cmd
-	log     string
+	logPath string
 	exited  chan struct{}
 	err     error
 }
 
-// Set is a number of processes that end together.
+// Set is a set of processes that can be stopped together.
 type Set struct {
-	bin   string
-	logs  string
-	env   []string
-	group *kernel.Group
-	mu    sync.Mutex
-	all   []*Process
+	bin       string
+	logs      string
+	env       []string
+	group     *kernel.Group
+	mu        sync.Mutex
+	processes []*Process
 }
 
-// NewSet returns a set whose programs are in bin, whose logs go to the folder
-// logs, and whose environment has env besides this process's own.
+// NewSet returns an empty set. Its programs are in the folder bin, their logs
+// go to the folder logs, and env is added to the environment of this process.
 func NewSet(bin, logs string, env ...string) *Set {
 	return &Set{bin: bin, logs: logs, env: env, group: kernel.NewGroup(context.Background())}
 }
 
-// Start runs a program of the bin folder.
+// Start starts a program from the folder bin. Its output is appended to
+// NAME.log.
 func (s *Set) Start(name, program string, args ...string) (*Process, error) {
 	path := filepath.Join(s.logs, name+".log")
 	log, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -59,35 +61,37 @@
 	cmd := exec.Command(filepath.Join(s.bin, program), args...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.Env = append(os.Environ(), s.env...)
-	// Ctrl-C goes to the starter alone, which then stops its processes in
-	// order; when the starter dies, they die too.
+	// A process group of its own keeps Ctrl-C from the child: the parent gets
+	// SIGINT alone and stops its children in order. Pdeathsig kills the child
+	// when the parent dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
-	p := &Process{Name: name, program: program, cmd: cmd, log: path, exited: make(chan struct{})}
+	p := &Process{Name: name, program: program, cmd: cmd, logPath: path, exited: make(chan struct{})}
 	s.group.Go("process.wait."+name, func(context.Context) error {
 		p.err = cmd.Wait()
 		close(p.exited)
 		return log.Close()
 	})
 	s.mu.Lock()
-	s.all = append(s.all, p)
+	s.processes = append(s.processes, p)
 	s.mu.Unlock()
 	return p, nil
 }
 
-// PID returns the process's id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// UnexpectedExit returns an error when a process has ended that was not stopped.
+// UnexpectedExit returns an error if a process has exited that was not stopped
+// through the set. The error contains the end of its log.
 func (s *Set) UnexpectedExit() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.all {
+	for _, p := range s.processes {
 		select {
 		case <-p.exited:
-			return fmt.Errorf("%s ended by itself (%w): %s", p.Name, p.err, p.tail())
+			return fmt.Errorf("%s exited unexpectedly (%w): %s", p.Name, p.err, p.tail())
 		default:
 		}
 	}
@@ -97,75 +101,77 @@
 const tailBytes = 300
 
 func (p *Process) tail() string {
-	data, err := os.ReadFile(p.log)
+	data, err := os.ReadFile(p.logPath)
 	if err != nil {
 		return err.Error()
 	}
 	return string(data[max(0, len(data)-tailBytes):])
 }
 
-// forget takes a process out of the set.
-func (s *Set) forget(p *Process) {
+// remove removes a process from the set.
+func (s *Set) remove(p *Process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, other := range s.all {
+	for i, other := range s.processes {
 		if other == p {
-			s.all = append(s.all[:i:i], s.all[i+1:]...)
+			s.processes = append(s.processes[:i:i], s.processes[i+1:]...)
 			return
 		}
 	}
 }
 
-// Stop ends a process by SIGTERM and waits for it.
+// Stop sends SIGTERM to a process and waits until it has exited.
 func (s *Set) Stop(p *Process) error { return s.StopWithin(p, stopTimeout) }
 
-// StopWithin ends a process by SIGTERM, or by SIGKILL when it still runs after
-// the grace, which is ErrKilled.
+// StopWithin sends SIGTERM to a process and waits until it has exited. After
+// the grace period it sends SIGKILL and returns ErrKilled.
 func (s *Set) StopWithin(p *Process, grace time.Duration) error {
-	s.forget(p)
+	s.remove(p)
 	return p.terminate(grace)
 }
 
-// Kill ends a process at once, as a lost VM does, and waits for it.
+// Kill sends SIGKILL to a process and waits until it has exited. It simulates
+// the loss of a VM.
 func (s *Set) Kill(p *Process) {
-	s.forget(p)
-	_ = p.cmd.Process.Kill() // it may have ended
+	s.remove(p)
+	_ = p.cmd.Process.Kill() // it may have exited
 	<-p.exited
 }
 
-// Freeze stops a process in the middle of whatever it does; Thaw lets it go on.
+// Freeze suspends a process with SIGSTOP until Thaw.
 func (p *Process) Freeze() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process with SIGCONT.
 func (p *Process) Thaw() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// HangUp tells a process that its settings file has changed.
+// HangUp sends SIGHUP, on which a process reloads its settings file.
 func (p *Process) HangUp() error { return p.cmd.Process.Signal(syscall.SIGHUP) }
 
 func (p *Process) terminate(grace time.Duration) error {
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have exited
 	select {
 	case <-p.exited:
 		return p.err
 	case <-time.After(grace):
-		_ = p.cmd.Process.Kill() // it may have ended
+		_ = p.cmd.Process.Kill() // it may have exited
 		<-p.exited
-		return fmt.Errorf("%s did not stop within %s: %w", p.Name, grace, ErrKilled)
+		return fmt.Errorf("%s did not exit within %s: %w", p.Name, grace, ErrKilled)
 	}
 }
 
-// StopAll asks everything that still runs to stop, the last started first,
-// and waits. Processes of one program stop together; a router drains towards
-// its platform, so those of another program started before it wait.
+// StopAll stops all processes of the set in reverse order of their start, and
+// waits until they have exited. Consecutive processes of one program are
+// stopped at the same time. Processes of other programs that were started
+// earlier keep running meanwhile: a router needs the platform while it drains.
 func (s *Set) StopAll() {
-	all := s.take()
+	all := s.removeAll()
 	for end := len(all); end > 0; {
 		first := end - 1
 		for first > 0 && all[first-1].program == all[end-1].program {
 			first--
 		}
 		for _, p := range all[first:end] {
-			_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+			_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have exited
 		}
 		for _, p := range all[first:end] {
 			_ = p.terminate(stopTimeout)
@@ -174,21 +180,22 @@
 	}
 }
 
-// KillAll ends everything that still runs at once.
+// KillAll sends SIGKILL to all processes of the set and waits until they have
+// exited.
 func (s *Set) KillAll() {
-	all := s.take()
+	all := s.removeAll()
 	for _, p := range all {
-		_ = p.cmd.Process.Kill() // it may have ended
+		_ = p.cmd.Process.Kill() // it may have exited
 	}
 	for _, p := range all {
 		<-p.exited
 	}
 }
 
-func (s *Set) take() []*Process {
+func (s *Set) removeAll() []*Process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := s.all
-	s.all = nil
+	all := s.processes
+	s.processes = nil
 	return all
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,6 @@
-// Package service is a stand-in for a plain service that books and credits:
-// it counts every run by key, so that a double run shows.
+// Package service is a stand-in for a plain service with side effects, such as
+// bookings. It counts the executions of each idempotency key, so that tests can
+// detect duplicates.
 package service
 
 import (
@@ -12,7 +13,7 @@
 	"redwinghall"
 )
 
-// Paths of the stand-in's own controls.
+// Paths of the control API of the stand-in.
 const (
 	PathFaults = "/standin/faults"
 	PathRuns   = "/standin/runs"
@@ -20,36 +21,38 @@
 
 const maxBody = 16 << 20
 
-// Faults says how the service misbehaves.
+// Faults configures simulated failures of the service.
 type Faults struct {
-	// Delay is added before each run.
+	// Delay is added before each execution.
 	Delay redwinghall.Duration `json:"delay"`
-	// CutAfterRun is how many coming calls run and lose their answer.
+	// CutAfterRun is the number of calls that are executed and then lose their
+	// connection before the response.
 	CutAfterRun int `json:"cut_after_run"`
-	// CutBeforeRun is how many coming calls are read and not run.
+	// CutBeforeRun is the number of calls that lose their connection after they
+	// were read, and are not executed.
 	CutBeforeRun int `json:"cut_before_run"`
-	// Silent runs calls and never answers.
+	// Silent executes calls and never sends a response.
 	Silent bool `json:"silent"`
 }
 
-// Receipt is the answer to a call.
+// Receipt is the response to a call.
 type Receipt struct {
 	Path string `json:"path"`
 	Key  string `json:"key"`
-	Run  int    `json:"run"` // which run of this key it was: 1 unless doubled
+	Run  int    `json:"run"` // number of executions of this key so far; above 1 for a duplicate
 }
 
-// Service counts runs.
+// Service counts the executions of each idempotency key.
 type Service struct {
 	mu     sync.Mutex
 	runs   map[string]int
 	faults Faults
-	// Arrivals receives the key of each call that has arrived, before its delay
-	// and its run, when it is not nil. Set it before the first call.
+	// Arrivals, if not nil, receives the key of each call before its delay and its
+	// execution. Set it before the first call.
 	Arrivals chan string
 }
 
-// New returns a service that has run nothing.
+// New returns a service with no executions.
 func New() *Service { return &Service{runs: map[string]int{}} }
 
 // SetFaults replaces the faults.
@@ -59,7 +62,7 @@
 	s.faults = f
 }
 
-// Runs returns how often each key ran.
+// Runs returns the number of executions of each key.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +73,7 @@
 	return out
 }
 
-// Handler returns the service and its controls.
+// Handler returns the HTTP handler of the service and of its control API.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathRuns, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Runs()) })
@@ -83,15 +86,15 @@
 		s.SetFaults(f)
 		writeJSON(w, struct{}{})
 	})
-	mux.HandleFunc("/", s.call)
+	mux.HandleFunc("/", s.handleCall)
 	return mux
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)); err != nil {
 		return
 	}
-	f := s.takeFaults()
+	f := s.nextFaults()
 	if f.CutBeforeRun > 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -102,7 +105,7 @@
 	if f.Delay > 0 {
 		time.Sleep(f.Delay.Std())
 	}
-	run := s.run(key)
+	run := s.countRun(key)
 	if f.CutAfterRun > 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -113,7 +116,7 @@
 	writeJSON(w, Receipt{Path: r.URL.Path, Key: key, Run: run})
 }
 
-func (s *Service) run(key string) int {
+func (s *Service) countRun(key string) int {
 	s.mu.Lock()
 	s.runs[key]++
 	n := s.runs[key]
@@ -121,7 +124,7 @@
 	return n
 }
 
-func (s *Service) takeFaults() Faults {
+func (s *Service) nextFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.faults
@@ -137,6 +140,6 @@
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		return // the client is gone
+		return // the client has disconnected
 	}
 }
--- a/standin/table/server.go
+++ b/standin/table/server.go
@@ -10,7 +10,7 @@
 	"redwinghall/tablehttp"
 )
 
-// Paths of the stand-in's own controls.
+// Paths of the control API of the stand-in.
 const (
 	PathFaults = "/standin/faults"
 	PathCounts = "/standin/counts"
@@ -19,49 +19,49 @@
 
 const maxBody = 64 << 20
 
-// Handler returns the table over HTTP, with its controls.
+// Handler returns the HTTP handler of the table and of its control API.
 func (t *Table) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+tablehttp.PathRead, func(w http.ResponseWriter, r *http.Request) {
 		var in tablehttp.ReadRequest
 		if decode(w, r, &in) {
 			rows, err := t.Read(r.Context(), in.Keys...)
-			answer(w, tablehttp.RowsResponse{Rows: rows}, err)
+			writeResult(w, tablehttp.RowsResponse{Rows: rows}, err)
 		}
 	})
 	mux.HandleFunc("POST "+tablehttp.PathScan, func(w http.ResponseWriter, r *http.Request) {
 		var in tablehttp.ScanRequest
 		if decode(w, r, &in) {
 			rows, err := t.Scan(r.Context(), in.Prefix)
-			answer(w, tablehttp.RowsResponse{Rows: rows}, err)
+			writeResult(w, tablehttp.RowsResponse{Rows: rows}, err)
 		}
 	})
 	mux.HandleFunc("POST "+tablehttp.PathCommit, func(w http.ResponseWriter, r *http.Request) {
 		var in redwinghall.Txn
 		if decode(w, r, &in) {
-			answer(w, struct{}{}, t.Commit(r.Context(), in))
+			writeResult(w, struct{}{}, t.Commit(r.Context(), in))
 		}
 	})
 	mux.HandleFunc("POST "+tablehttp.PathVMs, func(w http.ResponseWriter, r *http.Request) {
 		vms, err := t.VMs(r.Context())
-		answer(w, tablehttp.VMsResponse{VMs: vms}, err)
+		writeResult(w, tablehttp.VMsResponse{VMs: vms}, err)
 	})
 	mux.HandleFunc("POST "+PathFaults, func(w http.ResponseWriter, r *http.Request) {
 		var in Faults
 		if decode(w, r, &in) {
 			t.SetFaults(in)
-			answer(w, struct{}{}, nil)
+			writeResult(w, struct{}{}, nil)
 		}
 	})
 	mux.HandleFunc("POST "+PathSetVMs, func(w http.ResponseWriter, r *http.Request) {
 		var in redwinghall.VMs
 		if decode(w, r, &in) {
 			t.SetVMs(in)
-			answer(w, struct{}{}, nil)
+			writeResult(w, struct{}{}, nil)
 		}
 	})
 	mux.HandleFunc("GET "+PathCounts, func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, t.Counts(), nil)
+		writeResult(w, t.Counts(), nil)
 	})
 	return mux
 }
@@ -78,8 +78,9 @@
 	return true
 }
 
-// answer writes a result. A lost answer closes the connection without one.
-func answer(w http.ResponseWriter, v any, err error) {
+// writeResult writes a result or an error. If the outcome is unknown, it closes
+// the connection without a response.
+func writeResult(w http.ResponseWriter, v any, err error) {
 	status := http.StatusOK
 	switch redwinghall.KindOf[redwinghall.TableKind](err) {
 	case redwinghall.TableConflict:
@@ -100,5 +101,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(data) // the client may be gone
+	_, _ = w.Write(data) // the client may have disconnected
 }
--- a/standin/table/table.go
+++ b/standin/table/table.go
@@ -1,5 +1,5 @@
-// Package table is a stand-in for the platform's transactional table and list
-// of VMs: in memory, with the outages that the real one has.
+// Package table is an in-memory stand-in for the platform's transactional table
+// and list of VMs. It can simulate the failures of the real one.
 package table
 
 import (
@@ -13,28 +13,29 @@
 	"redwinghall"
 )
 
-// Faults says how the table misbehaves.
+// Faults configures simulated failures of the table.
 type Faults struct {
-	// Down refuses every operation.
+	// Down makes every operation fail as unavailable.
 	Down bool `json:"down"`
-	// Silent never answers.
+	// Silent makes operations without effect or response until the faults change.
 	Silent bool `json:"silent"`
-	// LoseAnswers is how many coming commits take effect without an answer.
+	// LoseAnswers is the number of commits that take effect without a response.
 	LoseAnswers int `json:"lose_answers"`
-	// LateWrites is how many coming commits take effect only after LateBy,
-	// without an answer.
+	// LateWrites is the number of commits that get no response and take effect
+	// only after LateBy, or at ApplyLate if LateBy is 0.
 	LateWrites int                  `json:"late_writes"`
 	LateBy     redwinghall.Duration `json:"late_by"`
-	// Skip is how many commits pass unharmed before answers are lost or late.
+	// Skip is the number of commits without a fault before LoseAnswers and
+	// LateWrites apply.
 	Skip int `json:"skip"`
-	// HoldAnswers lets operations take effect and holds their answers until
-	// the faults change.
+	// HoldAnswers delays the responses of commits, which take effect at once,
+	// until the faults change.
 	HoldAnswers bool `json:"hold_answers"`
 	// Latency is added to each operation.
 	Latency redwinghall.Duration `json:"latency"`
 }
 
-// Counts tells how often the table was used.
+// Counts contains counters of the use of the table.
 type Counts struct {
 	Reads    uint64 `json:"reads"` // read and scan operations
 	Commits  uint64 `json:"commits"`
@@ -43,27 +44,27 @@
 	Conflict uint64 `json:"conflict"`
 }
 
-// Table is the table. Versions rise over all rows, so that a deleted row that
-// comes back has a higher one.
+// Table is an in-memory table. Versions come from one counter over all rows, so
+// that a row that is deleted and written again has a higher version than before.
 type Table struct {
-	mu       sync.Mutex
-	rows     map[string]redwinghall.Row
-	revision int64
-	faults   Faults
-	counts   Counts
-	vms      redwinghall.VMs
-	late     []redwinghall.Txn
-	changed  chan struct{} // closed when the faults change
+	mu            sync.Mutex
+	rows          map[string]redwinghall.Row
+	revision      int64
+	faults        Faults
+	counts        Counts
+	vms           redwinghall.VMs
+	late          []redwinghall.Txn
+	faultsChanged chan struct{} // closed when the faults change
 }
 
 // New returns an empty table.
 func New() *Table {
-	return &Table{rows: map[string]redwinghall.Row{}, changed: make(chan struct{})}
+	return &Table{rows: map[string]redwinghall.Row{}, faultsChanged: make(chan struct{})}
 }
 
 var (
-	errDown   = errors.New("the table is down")
-	errSilent = errors.New("the table did not answer")
+	errDown   = errors.New("table is down")
+	errSilent = errors.New("no response from the table")
 )
 
 // SetFaults replaces the faults.
@@ -71,11 +72,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
-	close(t.changed)
-	t.changed = make(chan struct{})
+	close(t.faultsChanged)
+	t.faultsChanged = make(chan struct{})
 }
 
-// Counts returns how often the table was used.
+// Counts returns a copy of the counters.
 func (t *Table) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,10 +90,10 @@
 	t.vms = append(redwinghall.VMs(nil), vms...)
 }
 
-// enter applies outages and latency before an operation.
-func (t *Table) enter(ctx context.Context, op string) error {
+// applyFaults simulates outages and latency before an operation.
+func (t *Table) applyFaults(ctx context.Context, op string) error {
 	t.mu.Lock()
-	f, changed := t.faults, t.changed
+	f, changed := t.faults, t.faultsChanged
 	if f.Down {
 		t.counts.Refused++
 	}
@@ -120,7 +121,7 @@
 
 // Read implements redwinghall.Table.
 func (t *Table) Read(ctx context.Context, keys ...string) ([]redwinghall.Row, error) {
-	if err := t.enter(ctx, "Table.Read"); err != nil {
+	if err := t.applyFaults(ctx, "Table.Read"); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -136,7 +137,7 @@
 
 // Scan implements redwinghall.Table.
 func (t *Table) Scan(ctx context.Context, prefix string) ([]redwinghall.Row, error) {
-	if err := t.enter(ctx, "Table.Scan"); err != nil {
+	if err := t.applyFaults(ctx, "Table.Scan"); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -154,7 +155,7 @@
 
 // VMs implements redwinghall.VMLister.
 func (t *Table) VMs(ctx context.Context) (redwinghall.VMs, error) {
-	if err := t.enter(ctx, "Table.VMs"); err != nil {
+	if err := t.applyFaults(ctx, "Table.VMs"); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -165,18 +166,18 @@
 
 // Commit implements redwinghall.Table.
 func (t *Table) Commit(ctx context.Context, txn redwinghall.Txn) error {
-	if err := t.enter(ctx, "Table.Commit"); err != nil {
+	if err := t.applyFaults(ctx, "Table.Commit"); err != nil {
 		return err
 	}
 	err := t.commit(txn)
-	t.hold(ctx)
+	t.holdResponse(ctx)
 	return err
 }
 
-// hold keeps an answer back while the faults say so.
-func (t *Table) hold(ctx context.Context) {
+// holdResponse blocks until the faults change if HoldAnswers is set.
+func (t *Table) holdResponse(ctx context.Context) {
 	t.mu.Lock()
-	held, changed := t.faults.HoldAnswers, t.changed
+	held, changed := t.faults.HoldAnswers, t.faultsChanged
 	t.mu.Unlock()
 	if !held {
 		return
@@ -191,15 +192,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts.Commits++
-	harm := t.faults.Skip == 0
+	faulty := t.faults.Skip == 0
 	t.faults.Skip = max(0, t.faults.Skip-1)
-	if harm && t.faults.LateWrites > 0 {
+	if faulty && t.faults.LateWrites > 0 {
 		t.faults.LateWrites--
 		t.applyLater(txn, t.faults.LateBy.Std())
 		return redwinghall.NewOpError("Table.Commit", redwinghall.TableUnknown, errSilent)
 	}
 	conflicts := t.apply(txn)
-	if harm && t.faults.LoseAnswers > 0 {
+	if faulty && t.faults.LoseAnswers > 0 {
 		t.faults.LoseAnswers--
 		return redwinghall.NewOpError("Table.Commit", redwinghall.TableUnknown, errSilent)
 	}
@@ -210,7 +211,7 @@
 	return nil
 }
 
-// applyLater keeps a transaction until LandLate, or for a time when one is set.
+// applyLater applies a transaction after a time, or at ApplyLate if it is 0.
 func (t *Table) applyLater(txn redwinghall.Txn, after time.Duration) {
 	if after == 0 {
 		t.late = append(t.late, txn)
@@ -223,22 +224,22 @@
 	})
 }
 
-// ApplyLate lets the late writes that wait take effect now, and returns how
-// many of them did.
+// ApplyLate applies the delayed transactions now and returns how many of them
+// took effect.
 func (t *Table) ApplyLate() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	landed := 0
+	applied := 0
 	for _, txn := range t.late {
 		if len(t.apply(txn)) == 0 {
-			landed++
+			applied++
 		}
 	}
 	t.late = nil
-	return landed
+	return applied
 }
 
-// apply carries out a transaction, or returns the keys in conflict.
+// apply executes a transaction, or returns the keys in conflict.
 func (t *Table) apply(txn redwinghall.Txn) []string {
 	var conflicts []string
 	for _, w := range txn.Writes {
