--- a/cmd/standin/demo.go
+++ b/cmd/standin/demo.go
@@ -9,7 +9,7 @@
 )
 
 const demoHelp = `Starts stand-ins, 6 routers and 6 controllers in 3 availability zones as separate processes
-on loopback, runs a story through them, prints a check for each step, and stops everything.
+on loopback, runs a scenario against them, prints the result of each step, and stops everything.
 
 Example:
   standin demo --bin bin --example examples/pohjatee`
@@ -21,10 +21,11 @@
 	Logs    string `long:"logs" description:"folder for the processes' logs (default: a new one)" value-name:"DIR"`
 }
 
-// step is one line of the demo's table.
+// step is a step of the scenario and one line of the demo's output. Its run
+// returns a summary.
 type step struct {
 	name string
-	run  func(*story) (string, error)
+	run  func(*scenario) (string, error)
 }
 
 // Execute implements flags.Commander.
@@ -40,16 +41,16 @@
 	if err := os.MkdirAll(logs, 0o755); err != nil {
 		return err
 	}
-	s, err := newStory(c.app.ctx, c.Bin, c.Example, logs)
+	s, err := newScenario(c.app.ctx, c.Bin, c.Example, logs)
 	if err != nil {
 		return err
 	}
 	defer s.processes.StopAll()
 	_, _ = fmt.Fprintf(c.app.out, "\n%s: logs in %s\n", s.layout.Name, logs)
-	return c.play(s)
+	return c.runSteps(s)
 }
 
-func (c *demoCommand) play(s *story) error {
+func (c *demoCommand) runSteps(s *scenario) error {
 	table := tabwriter.NewWriter(c.app.out, 0, 0, 2, ' ', 0)
 	defer func() { _ = table.Flush() }()
 	for _, one := range steps() {
@@ -64,7 +65,7 @@
 		}
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", check, one.name, time.Since(started).Round(10*time.Millisecond), what)
 		if err != nil {
-			return fmt.Errorf("the step %q failed", one.name)
+			return fmt.Errorf("step %q failed", one.name)
 		}
 	}
 	return nil
--- a/cmd/standin/engines.go
+++ b/cmd/standin/engines.go
@@ -9,7 +9,7 @@
 	"redwinghall/standin/layout"
 )
 
-const enginesHelp = `Runs a model engine for each VM of the settings, each at its own address.
+const enginesHelp = `Runs a stand-in of a model engine for each VM in the settings, each at its own address.
 
 Example:
   standin engines --settings engines.json`
--- a/cmd/standin/examples.go
+++ b/cmd/standin/examples.go
@@ -10,7 +10,7 @@
 	"redwinghall/standin/layout"
 )
 
-const examplesHelp = `Writes the example settings and manifests of the two deployments.
+const examplesHelp = `Writes the settings and manifests of the two example deployments.
 
 Example:
   standin examples --out examples`
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// examples are the two deployments at today's size.
+// examples returns the layouts of the two deployments at their present size.
 func examples() []layout.Layout {
 	pohjatee := example("pohjatee", 21000, []string{"tallinn", "tartu", "parnu"})
 	pohjatee.Model, pohjatee.Service, pohjatee.VMsPerGroup, pohjatee.Replicas = "chain-advice", "rental-desk", 4, 5
@@ -79,7 +79,7 @@
 	s.MaxLoading = 20
 }
 
-// Weights of large and small client accounts.
+// Weights of large and small client accounts. Batch accounts have weight 1.
 const (
 	largeWeight = 30
 	smallWeight = 4
--- a/cmd/standin/link.go
+++ b/cmd/standin/link.go
@@ -7,7 +7,7 @@
 	"redwinghall/standin/link"
 )
 
-const linkHelp = `Forwards TCP connections, and can delay, cut or silently swallow what passes.
+const linkHelp = `Forwards TCP connections. Can delay or silently drop data, or cut connections.
 
 Example:
   standin link --listen 127.0.0.1:21900 --target 127.0.0.1:21000 --delay 2ms`
--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -8,8 +8,8 @@
 	"redwinghall/standin/load"
 )
 
-const loadHelp = `Sends chat completions from a number of workers and checks that every answer is complete
-and is the one that the engine must give.
+const loadHelp = `Sends chat completions from a number of workers and checks that every response is complete
+and equal to the one expected of the engine.
 
 Example:
   standin load --router 127.0.0.1:21100 --key demo-key-drivers --model chain-advice --requests 500`
@@ -18,11 +18,11 @@
 	app      *app
 	Routers  []string      `long:"router" required:"yes" description:"a router's caller listener; may be repeated" value-name:"IP:PORT"`
 	Key      string        `long:"key" required:"yes" description:"API key of a demo client account"`
-	Model    string        `long:"model" required:"yes" description:"model to ask"`
-	Requests int           `long:"requests" default:"100" description:"how many requests"`
-	Workers  int           `long:"workers" default:"8" description:"how many at a time"`
-	Tokens   int           `long:"tokens" default:"32" description:"chunks in each answer"`
-	Timeout  time.Duration `long:"timeout" default:"30s" description:"of one request"`
+	Model    string        `long:"model" required:"yes" description:"model ID"`
+	Requests int           `long:"requests" default:"100" description:"number of requests"`
+	Workers  int           `long:"workers" default:"8" description:"number of concurrent requests"`
+	Tokens   int           `long:"tokens" default:"32" description:"chunks in each response"`
+	Timeout  time.Duration `long:"timeout" default:"30s" description:"timeout of one request"`
 }
 
 // Execute implements flags.Commander.
@@ -33,7 +33,7 @@
 	})
 	_, _ = fmt.Fprintln(c.app.out, result)
 	if result.Correct != c.Requests {
-		return errors.New("not every answer was whole")
+		return errors.New("some responses were refused, incomplete or wrong")
 	}
 	return nil
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs small stand-ins for what surrounds redwinghall, a load
-// generator that checks every answer, and the demo. No program that serves
-// uses it.
+// Command standin runs stand-ins for the systems around redwinghall, a load
+// generator that checks every response, and the demo. It is not used in
+// production.
 package main
 
 import (
@@ -18,7 +18,7 @@
 )
 
 const help = `Runs stand-ins for the platform, the model engines, plain services and a network link,
-and a load generator that checks every answer.
+and a load generator that checks every response.
 
 Examples:
   standin platform --address 127.0.0.1:21000 --vms examples/pohjatee/vms.json
@@ -27,9 +27,9 @@
   standin load --router 127.0.0.1:21100 --key demo-key-drivers --model chain-advice
   standin demo --bin bin --example examples/pohjatee
 
-Exit codes: 0 done, 1 failed, 2 wrong usage.`
+Exit codes: 0 success, 1 failure, 2 usage error.`
 
-// app is what subcommands work with.
+// app contains what the subcommands share.
 type app struct {
 	ctx context.Context
 	out io.Writer
@@ -75,8 +75,8 @@
 		add("engines", "run model engines", enginesHelp, &enginesCommand{app: a}),
 		add("service", "run a plain service", serviceHelp, &serviceCommand{app: a}),
 		add("link", "run a network link", linkHelp, &linkCommand{app: a}),
-		add("load", "send requests and check the answers", loadHelp, &loadCommand{app: a}),
+		add("load", "send requests and check the responses", loadHelp, &loadCommand{app: a}),
 		add("examples", "write the example settings", examplesHelp, &examplesCommand{app: a}),
-		add("demo", "run a whole deployment and its story", demoHelp, &demoCommand{app: a}),
+		add("demo", "run a complete deployment through a scenario", demoHelp, &demoCommand{app: a}),
 	)
 }
--- a/cmd/standin/story.go
+++ b/cmd/standin/scenario.go
@@ -19,7 +19,8 @@
 	"redwinghall/standin/service"
 )
 
-// Tokens of the demo's processes; they guard nothing beyond loopback.
+// Tokens of the demo's processes. They need not be secret: all processes listen
+// on loopback.
 const (
 	demoPeerToken     = "demo-peer-token-0123456789"
 	demoOperatorToken = "demo-operator-token-0123456789"
@@ -30,8 +31,8 @@
 	pollInterval = 50 * time.Millisecond
 )
 
-// story is a running deployment and what the demo's steps need of it.
-type story struct {
+// scenario is a running deployment and the state that the demo's steps share.
+type scenario struct {
 	ctx        context.Context
 	layout     layout.Layout
 	example    string
@@ -42,22 +43,23 @@
 	generation uint64
 }
 
-func newStory(ctx context.Context, bin, example, logs string) (*story, error) {
+func newScenario(ctx context.Context, bin, example, logs string) (*scenario, error) {
 	name := filepath.Base(example)
 	for _, l := range examples() {
 		if l.Name == name {
-			return &story{
+			return &scenario{
 				ctx: ctx, layout: l, example: example, bin: bin, client: load.NewClient(),
 				processes: process.NewSet(bin, logs, layout.PeerTokenVariable+"="+demoPeerToken,
 					layout.OperatorTokenVariable+"="+demoOperatorToken),
 			}, nil
 		}
 	}
-	return nil, fmt.Errorf("there is no example named %q", name)
+	return nil, fmt.Errorf("no example named %q", name)
 }
 
-// wait polls until done, and fails when a process ended by itself.
-func (s *story) wait(what string, done func() bool) error {
+// waitFor polls until done returns true. It fails if a process exited
+// unexpectedly.
+func (s *scenario) waitFor(what string, done func() bool) error {
 	deadline := time.Now().Add(waitLimit)
 	for time.Now().Before(deadline) && s.ctx.Err() == nil {
 		if err := s.processes.UnexpectedExit(); err != nil {
@@ -68,10 +70,10 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	return fmt.Errorf("not seen within %s: %s", waitLimit, what)
+	return fmt.Errorf("timed out after %s waiting for: %s", waitLimit, what)
 }
 
-func (s *story) status(address, path string) int {
+func (s *scenario) status(address, path string) int {
 	response, err := s.client.Get("http://" + address + path)
 	if err != nil {
 		return 0
@@ -81,8 +83,8 @@
 	return response.StatusCode
 }
 
-// ctl runs rwhctl; a refusal's text is in the error.
-func (s *story) ctl(args ...string) error {
+// rwhctl runs rwhctl. Its output is part of the error.
+func (s *scenario) rwhctl(args ...string) error {
 	cmd := exec.CommandContext(s.ctx, filepath.Join(s.bin, "rwhctl"),
 		append([]string{"--controller", s.layout.OperatorAddress(0)}, args...)...)
 	cmd.Env = append(cmd.Environ(), "RWH_OPERATOR_TOKEN="+demoOperatorToken)
@@ -93,11 +95,11 @@
 	return nil
 }
 
-func (s *story) operators(pair int) *operator.Client {
+func (s *scenario) operatorClient(pair int) *operator.Client {
 	return operator.NewClient(s.layout.OperatorAddress(pair), demoOperatorToken)
 }
 
-func (s *story) loadConfig(requests int, routers ...int) load.Config {
+func (s *scenario) loadConfig(requests int, routers ...int) load.Config {
 	c := load.Config{
 		Key: layout.DemoKey(s.layout.Accounts[0].ID), Model: s.layout.Model,
 		Requests: requests, Workers: 12, Tokens: 24, Timeout: 30 * time.Second, Seed: requests,
@@ -108,7 +110,7 @@
 	return c
 }
 
-func (s *story) allRouters() []int {
+func (s *scenario) allRouters() []int {
 	var out []int
 	for i := range s.layout.Pairs() {
 		out = append(out, i)
@@ -116,9 +118,9 @@
 	return out
 }
 
-// post books under a key through one router and returns the status and
-// whether the answer was a replay.
-func (s *story) post(router int, key, body string) (int, string, error) {
+// postDeposit sends a deposit under an idempotency key through one router and
+// returns the status and the body of the response.
+func (s *scenario) postDeposit(router int, key, body string) (int, string, error) {
 	request, err := http.NewRequestWithContext(s.ctx, http.MethodPost,
 		"http://"+s.layout.CallerAddress(router)+"/v1/services/"+s.layout.Service+"/deposits", strings.NewReader(body))
 	if err != nil {
@@ -135,12 +137,12 @@
 	return response.StatusCode, string(data), err
 }
 
-func (s *story) runs(zone int) (map[string]int, error) {
+func (s *scenario) runs(zone int) (map[string]int, error) {
 	out := map[string]int{}
 	return out, s.get(s.layout.ServiceAddress(zone)+service.PathRuns, &out)
 }
 
-func (s *story) get(url string, out any) error {
+func (s *scenario) get(url string, out any) error {
 	response, err := s.client.Get("http://" + url)
 	if err != nil {
 		return err
@@ -149,7 +151,7 @@
 	return json.NewDecoder(response.Body).Decode(out)
 }
 
-func (s *story) record() (engine.Record, error) {
+func (s *scenario) record() (engine.Record, error) {
 	var out engine.Record
 	return out, s.get(s.layout.EngineControlAddress()+engine.PathRecord, &out)
 }
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -10,7 +10,7 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// serve runs a handler at address until the group stops.
+// serve serves a handler at address until the group stops.
 func serve(g *kernel.Group, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/cmd/standin/service.go
+++ b/cmd/standin/service.go
@@ -5,7 +5,7 @@
 	"redwinghall/standin/service"
 )
 
-const serviceHelp = `Runs a plain service that counts every run of a call by its key.
+const serviceHelp = `Runs a plain service that counts the executions of calls by idempotency key.
 
 Example:
   standin service --address 127.0.0.1:21010`
--- a/cmd/standin/steps.go
+++ b/cmd/standin/steps.go
@@ -20,22 +20,22 @@
 
 func steps() []step {
 	return []step{
-		{"start stand-ins, 6 controllers, 6 routers", (*story).startAll},
-		{"a malformed manifest is refused whole", (*story).malformed},
-		{"put the manifest in force", (*story).submit},
-		{"groups form in every zone", (*story).groups},
-		{"callers are served through every router", (*story).serve},
-		{"one deposit sent three times runs once", (*story).book},
-		{"two operators race: one wins", (*story).race},
-		{"a VM dies: answers stay whole", (*story).killVM},
-		{"a zone goes out: no new work there", (*story).zoneOut},
-		{"the zone comes back", (*story).zoneIn},
-		{"a router stops: nothing is cut off", (*story).stopRouter},
-		{"stop everything", (*story).stopAll},
+		{"start stand-ins, 6 controllers, 6 routers", (*scenario).startAll},
+		{"a malformed manifest is refused", (*scenario).refuseMalformed},
+		{"submit the manifest", (*scenario).submitManifest},
+		{"groups form in every zone", (*scenario).waitForGroups},
+		{"callers are served through every router", (*scenario).serveCallers},
+		{"a deposit sent three times is executed once", (*scenario).depositOnce},
+		{"of two concurrent submissions, one is accepted", (*scenario).raceSubmissions},
+		{"a VM is killed: responses stay complete", (*scenario).killVM},
+		{"a zone is taken out of service: no new requests there", (*scenario).takeZoneOut},
+		{"the zone is put back into service", (*scenario).takeZoneIn},
+		{"a router is stopped: responses stay complete", (*scenario).stopRouter},
+		{"stop everything", (*scenario).stopAll},
 	}
 }
 
-func (s *story) startAll() (string, error) {
+func (s *scenario) startAll() (string, error) {
 	launches := s.layout.Launches(s.example)
 	for _, l := range launches {
 		one, err := s.processes.Start(l.Name, l.Program, l.Args...)
@@ -46,7 +46,7 @@
 			s.routers = append(s.routers, one)
 		}
 	}
-	err := s.wait("every router answers", func() bool {
+	err := s.waitFor("every router responds", func() bool {
 		for i := range s.layout.Pairs() {
 			if s.status(s.layout.CallerAddress(i), "/healthz") != http.StatusOK {
 				return false
@@ -58,22 +58,22 @@
 		len(launches), len(s.layout.Zones), len(s.layout.EngineSettings().VMs)), err
 }
 
-func (s *story) malformed() (string, error) {
+func (s *scenario) refuseMalformed() (string, error) {
 	bad := []byte(`{"name":"x","models":[{"id":"chain","version":1}],"surprise":true}`)
-	_, err := s.operators(0).SubmitManifest(s.ctx, operator.Submission{SubmitID: "bad"}, bad)
+	_, err := s.operatorClient(0).SubmitManifest(s.ctx, operator.Submission{SubmitID: "bad"}, bad)
 	var refused *operator.RefusedError
 	if !errors.As(err, &refused) || refused.Code != redwinghall.CodeManifestInvalid {
-		return "", fmt.Errorf("want manifest_invalid, got %w", err)
+		return "", fmt.Errorf("expected manifest_invalid, got %w", err)
 	}
-	return fmt.Sprintf("%s, %d faults named", refused.Code, len(refused.Faults)), nil
+	return fmt.Sprintf("%s, %d faults listed", refused.Code, len(refused.Faults)), nil
 }
 
-func (s *story) submit() (string, error) {
-	if err := s.ctl("submit", "--replaces", "0", "--submit-id", "first", filepath.Join(s.example, "manifest.json")); err != nil {
+func (s *scenario) submitManifest() (string, error) {
+	if err := s.rwhctl("submit", "--replaces", "0", "--submit-id", "first", filepath.Join(s.example, "manifest.json")); err != nil {
 		return "", err
 	}
 	accepted := time.Now()
-	err := s.wait("every router has the manifest", func() bool {
+	err := s.waitFor("every router has the manifest", func() bool {
 		for i := range s.layout.Pairs() {
 			if s.status(s.layout.CallerAddress(i), "/readyz") != http.StatusOK {
 				return false
@@ -82,15 +82,15 @@
 		return true
 	})
 	s.generation = 1
-	return fmt.Sprintf("generation 1 in every router %s after it was accepted", time.Since(accepted).Round(time.Millisecond)), err
+	return fmt.Sprintf("generation 1 in effect in every router %s after it was accepted", time.Since(accepted).Round(time.Millisecond)), err
 }
 
-func (s *story) groups() (string, error) {
+func (s *scenario) waitForGroups() (string, error) {
 	total := 0
-	err := s.wait("every zone has its groups whole", func() bool {
+	err := s.waitFor("all groups of every zone are healthy", func() bool {
 		total = 0
 		for z := range s.layout.Zones {
-			status, err := s.operators(z * s.layout.PairsPerZone).Status(s.ctx)
+			status, err := s.operatorClient(z * s.layout.PairsPerZone).Status(s.ctx)
 			if err != nil {
 				return false
 			}
@@ -102,10 +102,10 @@
 		}
 		return total == len(s.layout.Zones)*s.layout.Replicas
 	})
-	return fmt.Sprintf("%d groups of %d VMs whole", total, s.layout.VMsPerGroup), err
+	return fmt.Sprintf("%d healthy groups of %d VMs", total, s.layout.VMsPerGroup), err
 }
 
-func (s *story) serve() (string, error) {
+func (s *scenario) serveCallers() (string, error) {
 	result := load.Run(s.ctx, s.loadConfig(240, s.allRouters()...))
 	if result.Correct != result.Sent {
 		return "", errors.New(result.String())
@@ -113,13 +113,13 @@
 	return result.String(), nil
 }
 
-func (s *story) book() (string, error) {
+func (s *scenario) depositOnce() (string, error) {
 	const key = "deposit-1"
 	var bodies []string
 	for _, router := range []int{0, 2, 4} {
 		var body string
-		err := s.wait("the deposit is answered", func() bool {
-			status, text, err := s.post(router, key, `{"amount":50}`)
+		err := s.waitFor("the deposit gets a response", func() bool {
+			status, text, err := s.postDeposit(router, key, `{"amount":50}`)
 			body = text
 			return err == nil && status == http.StatusOK
 		})
@@ -137,19 +137,19 @@
 		runs += counts[key]
 	}
 	if runs != 1 || bodies[0] != bodies[1] || bodies[1] != bodies[2] {
-		return "", fmt.Errorf("the deposit ran %d times", runs)
+		return "", fmt.Errorf("the deposit was executed %d times or its responses differ", runs)
 	}
-	status, _, err := s.post(0, key, `{"amount":60}`)
+	status, _, err := s.postDeposit(0, key, `{"amount":60}`)
 	if err != nil {
 		return "", err
 	}
 	if status != http.StatusUnprocessableEntity {
-		return "", fmt.Errorf("another body under the key: status %d", status)
+		return "", fmt.Errorf("different body under the same key: status %d", status)
 	}
-	return "3 zones, 1 run, 3 equal answers; another body under the key is refused", nil
+	return "3 zones, 1 execution, 3 equal responses; a different body under the same key is refused", nil
 }
 
-func (s *story) race() (string, error) {
+func (s *scenario) raceSubmissions() (string, error) {
 	manifest, err := json.Marshal(s.layout.Manifest("v1"))
 	if err != nil {
 		return "", err
@@ -158,7 +158,7 @@
 	both := kernel.NewGroup(s.ctx)
 	for _, pair := range []int{0, 3} {
 		both.Go("demo.race", func(ctx context.Context) error {
-			_, err := s.operators(pair).SubmitManifest(ctx, operator.Submission{SubmitID: fmt.Sprintf("race-%d", pair), Replaces: 1}, manifest)
+			_, err := s.operatorClient(pair).SubmitManifest(ctx, operator.Submission{SubmitID: fmt.Sprintf("race-%d", pair), Replaces: 1}, manifest)
 			var refused *operator.RefusedError
 			switch {
 			case err == nil:
@@ -169,15 +169,15 @@
 			return nil
 		})
 	}
-	_ = both.Wait() // the functions return no errors
+	_ = both.Wait() // the functions above return no errors
 	if accepted.Load() != 1 || raced.Load() != 1 {
-		return "", fmt.Errorf("%d accepted, %d refused as a race", accepted.Load(), raced.Load())
+		return "", fmt.Errorf("%d accepted, %d refused with manifest_race", accepted.Load(), raced.Load())
 	}
 	return "1 accepted, 1 refused with manifest_race", nil
 }
 
-func (s *story) killVM() (string, error) {
-	status, err := s.operators(0).Status(s.ctx)
+func (s *scenario) killVM() (string, error) {
+	status, err := s.operatorClient(0).Status(s.ctx)
 	if err != nil {
 		return "", err
 	}
@@ -200,8 +200,8 @@
 	if result.Correct != result.Sent {
 		return "", errors.New(result.String())
 	}
-	err = s.wait("the dead VM is out of its group", func() bool {
-		status, err := s.operators(0).Status(s.ctx)
+	err = s.waitFor("the killed VM is removed from its group", func() bool {
+		status, err := s.operatorClient(0).Status(s.ctx)
 		if err != nil {
 			return false
 		}
@@ -217,13 +217,13 @@
 	return fmt.Sprintf("%s killed; %s", vm, result), err
 }
 
-func (s *story) zoneOut() (string, error) {
+func (s *scenario) takeZoneOut() (string, error) {
 	zone := s.layout.Zones[1]
-	if err := s.ctl("zone", "out", zone); err != nil {
+	if err := s.rwhctl("zone", "out", zone); err != nil {
 		return "", err
 	}
 	decided := time.Now()
-	err := s.wait("both routers of the zone are not ready", func() bool {
+	err := s.waitFor("both routers of the zone are not ready", func() bool {
 		return s.status(s.layout.CallerAddress(2), "/readyz") == http.StatusServiceUnavailable &&
 			s.status(s.layout.CallerAddress(3), "/readyz") == http.StatusServiceUnavailable
 	})
@@ -249,15 +249,15 @@
 	if started != 0 || result.Correct != result.Sent {
 		return "", fmt.Errorf("%d requests were started in %s; %s", started, zone, result)
 	}
-	return fmt.Sprintf("in force after %s; 0 requests started in %s; %s", inForce.Round(time.Millisecond), zone, result), nil
+	return fmt.Sprintf("in effect after %s; 0 requests started in %s; %s", inForce.Round(time.Millisecond), zone, result), nil
 }
 
-func (s *story) zoneIn() (string, error) {
+func (s *scenario) takeZoneIn() (string, error) {
 	zone := s.layout.Zones[1]
-	if err := s.ctl("zone", "in", zone); err != nil {
+	if err := s.rwhctl("zone", "in", zone); err != nil {
 		return "", err
 	}
-	err := s.wait("both routers of the zone are ready", func() bool {
+	err := s.waitFor("both routers of the zone are ready", func() bool {
 		return s.status(s.layout.CallerAddress(2), "/readyz") == http.StatusOK &&
 			s.status(s.layout.CallerAddress(3), "/readyz") == http.StatusOK
 	})
@@ -271,9 +271,9 @@
 	return result.String(), nil
 }
 
-// stopRouter ends a router while it streams. Its callers go on to the other
-// routers for new requests, as behind a balancer.
-func (s *story) stopRouter() (string, error) {
+// stopRouter stops a router while it streams. The router must complete its
+// streams before it exits.
+func (s *scenario) stopRouter() (string, error) {
 	c := s.loadConfig(24, 5)
 	c.Tokens, c.Workers = 200, 24
 	done := make(chan load.Result, 1)
@@ -293,7 +293,7 @@
 	return result.String(), nil
 }
 
-func (s *story) stopAll() (string, error) {
+func (s *scenario) stopAll() (string, error) {
 	record, err := s.record()
 	if err != nil {
 		return "", err
@@ -302,6 +302,6 @@
 		return "", err
 	}
 	s.processes.StopAll()
-	return fmt.Sprintf("engines: %d requests, %d begun in an incomplete group (longest %s), %d overloads of cold engines",
+	return fmt.Sprintf("engines: %d requests, %d started in an incomplete group (longest %s), %d overloads of cold engines",
 		record.Requests, record.Incomplete, record.LongestIncomplete.Std().Round(time.Millisecond), record.Overloads), nil
 }
