--- a/measure/claims.go
+++ b/measure/claims.go
@@ -19,12 +19,12 @@
 	tableLatency  = 3 * time.Millisecond
 )
 
-// measureClaims books at several rates through six routers' keepers and
-// counts what the table sees.
+// measureClaims makes bookings at several rates through the claim keepers of six
+// routers and counts the table operations.
 func measureClaims(options) ([]Series, error) {
 	var commits, rows, reads, wait []Point
 	for _, rate := range []int{6, 100, 300, 1000} {
-		counts, mean, err := bookAt(rate)
+		counts, mean, err := claimAtRate(rate)
 		if err != nil {
 			return nil, err
 		}
@@ -42,7 +42,7 @@
 	}, nil
 }
 
-func bookAt(rate int) (table.Counts, time.Duration, error) {
+func claimAtRate(rate int) (table.Counts, time.Duration, error) {
 	tab := table.New()
 	tab.SetFaults(table.Faults{Latency: redwinghall.Duration(tableLatency)})
 	g := kernel.NewGroup(context.Background())
--- a/measure/deployment.go
+++ b/measure/deployment.go
@@ -14,7 +14,7 @@
 	"redwinghall/standin/process"
 )
 
-// Names of the measured deployments.
+// Fixed parameters of the measured deployments.
 const (
 	measureToken   = "measure-token-0123456789"
 	measureAccount = "load"
@@ -23,7 +23,8 @@
 	waitLimit      = time.Minute
 )
 
-// shape is the size of a measured deployment.
+// shape is the size of a measured deployment and the configuration of its
+// engines.
 type shape struct {
 	zones, nodesPerZone, groupsPerZone int
 	engine                             engine.Config
@@ -47,8 +48,8 @@
 	return l
 }
 
-// deployment is processes on loopback: the platform, the engines, and a
-// router and a controller for each node.
+// deployment is a set of processes on loopback: the platform, the engines, and
+// a router and a controller for each node.
 type deployment struct {
 	layout      layout.Layout
 	set         *process.Set
@@ -58,14 +59,14 @@
 	client      *http.Client
 }
 
-// startServing starts a deployment and waits until its groups are whole.
+// startServing starts a deployment and waits until its groups are healthy.
 func startServing(bin string, s shape, change func(*layout.Layout)) (*deployment, error) {
-	d, err := startDeploymentOf(bin, s, change)
+	d, err := startDeployment(bin, s, change)
 	if err != nil {
 		return nil, err
 	}
 	if _, err = d.submit(0); err == nil {
-		err = d.serving()
+		err = d.waitServing()
 	}
 	if err != nil {
 		d.stop()
@@ -74,11 +75,12 @@
 	return d, nil
 }
 
-// unchanged leaves a layout as its shape makes it.
+// unchanged keeps the layout of a shape as it is.
 func unchanged(*layout.Layout) {}
 
-// startDeploymentOf starts a deployment of a shape, with its layout adapted by change.
-func startDeploymentOf(bin string, s shape, change func(*layout.Layout)) (*deployment, error) {
+// startDeployment starts a deployment of a shape, with its layout modified by
+// change.
+func startDeployment(bin string, s shape, change func(*layout.Layout)) (*deployment, error) {
 	l := s.layout()
 	change(&l)
 	dir, err := os.MkdirTemp("", "redwinghall-measure-")
@@ -112,9 +114,9 @@
 			d.controllers = append(d.controllers, p)
 		}
 	}
-	return d.wait("every process answers", func() bool {
+	return d.waitFor("every process responds", func() bool {
 		for i := range d.layout.Pairs() {
-			if _, err := d.operator(i).Status(context.Background()); err != nil || d.generation(i) == "" {
+			if _, err := d.operatorClient(i).Status(context.Background()); err != nil || d.generation(i) == "" {
 				return false
 			}
 		}
@@ -122,13 +124,14 @@
 	})
 }
 
-// stop ends what was started; what is measured is over, so nothing drains.
+// stop kills all processes and deletes their files. The measurement is over, so
+// there is nothing to drain.
 func (d *deployment) stop() {
 	d.set.KillAll()
 	_ = os.RemoveAll(d.dir)
 }
 
-func (d *deployment) wait(what string, done func() bool) error {
+func (d *deployment) waitFor(what string, done func() bool) error {
 	deadline := time.Now().Add(waitLimit)
 	for time.Now().Before(deadline) {
 		if err := d.set.UnexpectedExit(); err != nil {
@@ -139,15 +142,15 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	return fmt.Errorf("not seen within %s: %s", waitLimit, what)
+	return fmt.Errorf("timed out after %s waiting for: %s", waitLimit, what)
 }
 
-func (d *deployment) operator(i int) *operator.Client {
+func (d *deployment) operatorClient(i int) *operator.Client {
 	return operator.NewClient(d.layout.OperatorAddress(i), measureToken)
 }
 
-// readyz returns the status and the manifest generation that a router tells
-// the balancer; zero and "" when it does not answer.
+// readyz returns the status and the manifest generation of a router's readiness
+// check, or 0 and "" if it does not respond.
 func (d *deployment) readyz(i int) (status int, generation string) {
 	response, err := d.client.Get("http://" + d.layout.CallerAddress(i) + "/readyz")
 	if err != nil {
@@ -162,21 +165,21 @@
 	return generation
 }
 
-// submit puts a manifest in force and returns how long it took, from the
-// operator's answer until every router has it.
+// submit submits a manifest and returns the time from its acceptance until it
+// is in effect in every router.
 func (d *deployment) submit(replaces uint64) (time.Duration, error) {
 	data, _, err := d.layout.Manifest("v1").Canonical()
 	if err != nil {
 		return 0, err
 	}
-	_, err = d.operator(0).SubmitManifest(context.Background(),
+	_, err = d.operatorClient(0).SubmitManifest(context.Background(),
 		operator.Submission{SubmitID: fmt.Sprint("submit-", replaces), Replaces: replaces}, data)
 	if err != nil {
 		return 0, err
 	}
 	accepted := time.Now()
 	want := fmt.Sprint(replaces + 1)
-	err = d.wait("the manifest is in force", func() bool {
+	err = d.waitFor("the manifest is in effect", func() bool {
 		for i := range d.layout.Pairs() {
 			if d.generation(i) != want {
 				return false
@@ -187,21 +190,21 @@
 	return time.Since(accepted), err
 }
 
-// serving waits until every zone's groups are whole.
-func (d *deployment) serving() error {
-	return d.wait("every group is whole", func() bool {
+// waitServing waits until all groups of every zone are healthy.
+func (d *deployment) waitServing() error {
+	return d.waitFor("every group is healthy", func() bool {
 		for z := range d.layout.Zones {
-			status, err := d.operator(z * d.layout.PairsPerZone).Status(context.Background())
+			status, err := d.operatorClient(z * d.layout.PairsPerZone).Status(context.Background())
 			if err != nil {
 				return false
 			}
-			whole := 0
+			healthy := 0
 			for _, g := range status.Groups {
 				if g.Whole {
-					whole++
+					healthy++
 				}
 			}
-			if whole != d.layout.Replicas {
+			if healthy != d.layout.Replicas {
 				return false
 			}
 		}
--- a/measure/downtime.go
+++ b/measure/downtime.go
@@ -12,12 +12,12 @@
 	"redwinghall/standin/layout"
 )
 
-// downtimeRepeats is how often each loss is brought about.
+// downtimeRepeats is the number of measurements of each kind of failure.
 const downtimeRepeats = 3
 
-// measureDowntime brings losses about in a zone of three groups of four VMs
-// with two spares in their domain, and takes how long a group is not whole.
-// The times hold with the default settings and 0.3 s to load a model.
+// measureDowntime injects failures into a zone of three groups of four VMs with
+// two spare VMs in their domain, and measures how long a group is not healthy.
+// The times apply to the default settings and 0.3 s to load a model.
 func measureDowntime(o options) ([]Series, error) {
 	d, err := startServing(o.Bin, shape{zones: 1, nodesPerZone: 2, groupsPerZone: 3,
 		engine: engine.Config{LoadTime: redwinghall.Duration(300 * time.Millisecond)}},
@@ -32,7 +32,7 @@
 			action engine.Action
 			points *[]Point
 		}{{engine.ActionRestart, &restarted}, {engine.ActionKill, &killed}, {engine.ActionFreeze, &frozen}} {
-			took, err := d.lose(loss.action)
+			took, err := d.measureLoss(loss.action)
 			if err != nil {
 				return nil, err
 			}
@@ -46,32 +46,32 @@
 	}, nil
 }
 
-// lose does something to a member of the first group and returns how long it
-// takes until all groups are whole without that member's old self.
-func (d *deployment) lose(action engine.Action) (time.Duration, error) {
-	before, err := d.groupsNow()
+// measureLoss applies an action to a member of the first group and returns the
+// time until all groups are healthy again, with the member replaced or restarted.
+func (d *deployment) measureLoss(action engine.Action) (time.Duration, error) {
+	before, err := d.sortedGroups()
 	if err != nil {
 		return 0, err
 	}
 	victim := before[0].Members[1].VM
 	started := time.Now()
-	if err := d.act(victim, action); err != nil {
+	if err := d.applyAction(victim, action); err != nil {
 		return 0, err
 	}
-	err = d.wait("the groups are whole again after "+string(action), func() bool {
-		groups, err := d.groupsNow()
-		return err == nil && len(groups) == d.layout.Replicas && mended(groups, before[0], victim, action)
+	err = d.waitFor("the groups are healthy again after "+string(action), func() bool {
+		groups, err := d.sortedGroups()
+		return err == nil && len(groups) == d.layout.Replicas && recovered(groups, before[0], victim, action)
 	})
 	took := time.Since(started)
 	if err != nil {
 		return 0, err
 	}
-	return took, d.revive(victim, action)
+	return took, d.restoreVM(victim, action)
 }
 
-// mended reports whether every group is whole, and the one that was hit has
-// been ordered anew.
-func mended(groups []operator.GroupStatus, hit operator.GroupStatus, victim string, action engine.Action) bool {
+// recovered reports whether every group is healthy, the affected one has a new
+// generation, and the victim is in no group unless it was only restarted.
+func recovered(groups []operator.GroupStatus, hit operator.GroupStatus, victim string, action engine.Action) bool {
 	for _, g := range groups {
 		if !g.Whole || (g.ID == hit.ID && g.Generation == hit.Generation) {
 			return false
@@ -85,19 +85,20 @@
 	return true
 }
 
-// revive brings a lost VM back, so that it is a spare for the next loss.
-func (d *deployment) revive(vm string, action engine.Action) error {
+// restoreVM restores a killed or frozen VM, so that it is a spare for the next
+// failure.
+func (d *deployment) restoreVM(vm string, action engine.Action) error {
 	switch action {
 	case engine.ActionKill:
-		return d.act(vm, engine.ActionRestart)
+		return d.applyAction(vm, engine.ActionRestart)
 	case engine.ActionFreeze:
-		return d.act(vm, engine.ActionThaw)
+		return d.applyAction(vm, engine.ActionThaw)
 	default:
 		return nil
 	}
 }
 
-func (d *deployment) act(vm string, action engine.Action) error {
+func (d *deployment) applyAction(vm string, action engine.Action) error {
 	response, err := d.client.Post("http://"+d.layout.EngineControlAddress()+engine.PathVM+vm+"/"+string(action), "", nil)
 	if err != nil {
 		return err
@@ -109,8 +110,8 @@
 	return err
 }
 
-func (d *deployment) groupsNow() ([]operator.GroupStatus, error) {
-	status, err := d.operator(0).Status(context.Background())
+func (d *deployment) sortedGroups() ([]operator.GroupStatus, error) {
+	status, err := d.operatorClient(0).Status(context.Background())
 	if err != nil {
 		return nil, err
 	}
--- a/measure/exchange.go
+++ b/measure/exchange.go
@@ -16,12 +16,13 @@
 const (
 	exchangeWarm = 3 * time.Second
 	exchangeTime = 8 * time.Second
-	targetGroups = 20 // of one zone at the target size: 325 groups in 16 zones
-	targetNodes  = 22 // of one zone at the target size: 360 nodes in 16 zones
+	targetGroups = 20 // per zone at the target size of 325 groups in 16 zones
+	targetNodes  = 22 // per zone at the target size of 360 nodes in 16 zones
 )
 
-// measureExchange runs one zone's nodes in this process, each with its own
-// listener and connections, and counts what passes their sockets.
+// measureExchange runs the nodes of one zone in this process, each with its own
+// listener and connections. It measures the bytes on their sockets, the CPU
+// time, and the age of the oldest health observation.
 func measureExchange(options) ([]Series, error) {
 	var bytes, cpu, age []Point
 	for _, nodes := range []int{6, 11, 22, 44} {
@@ -50,12 +51,12 @@
 }
 
 type zoneResult struct {
-	bytes      float64 // a second, in and out, of one node
-	cpuPercent float64 // of a core, of one node
-	age        time.Duration
+	bytes      float64       // per second and node, in and out
+	cpuPercent float64       // of a core, per node
+	age        time.Duration // of the oldest health observation
 }
 
-// runZone starts the nodes and lets two of them observe each group once a
+// runZone starts the nodes. Two of them observe the health of each group once a
 // second, as pollers do.
 func runZone(count, groups int) (zoneResult, error) {
 	g := kernel.NewGroup(context.Background())
@@ -86,7 +87,7 @@
 		group := redwinghall.Group{ID: groupID(i), Generation: 1, Model: "chain-advice", Members: make([]redwinghall.Member, 4)}
 		data, err := json.Marshal(group)
 		if err != nil {
-			panic(err) // a struct of plain fields always marshals
+			panic(err) // cannot fail: the struct has only plain fields
 		}
 		n.Publish(peer.Entry{Key: peer.KeyGroup("zone-a", group.ID), Number: 1, Value: data})
 	}
@@ -109,7 +110,7 @@
 		nodes[i] = peer.NewNode(seeds[i], seeds, "measure-token-0123")
 		server := &http.Server{Handler: nodes[i].Handler(), ReadHeaderTimeout: time.Second}
 		g.Go("serve", func(context.Context) error {
-			_ = server.Serve(listeners[i]) // ends when it is closed
+			_ = server.Serve(listeners[i]) // returns when the server is closed
 			return nil
 		})
 		g.Go("close", func(ctx context.Context) error {
@@ -121,9 +122,9 @@
 	return nodes, nil
 }
 
-// sampleZone counts for a while. What a node starts is counted on its own
-// sockets; what others start towards it is the same on average, so a node's
-// bytes are twice those that it starts.
+// sampleZone measures for exchangeTime. A node counts only the bytes of the
+// exchanges that it starts. Exchanges that its peers start with it transfer as
+// much on average, so its total is twice its own count.
 func sampleZone(nodes []*peer.Node, groups int) zoneResult {
 	before, cpuBefore, started := startedBytes(nodes), ownCPU(), time.Now()
 	var oldest time.Duration
@@ -148,8 +149,8 @@
 
 const changeRounds = 12
 
-// measureChange publishes large registers one after the other and counts the
-// bytes that each costs a node, by the size of the register.
+// measureChange publishes large registers one after the other and measures the
+// bytes per node and change, by the size of the register.
 func measureChange(options) ([]Series, error) {
 	var points []Point
 	for _, kib := range []int{8, 32, 128} {
@@ -167,7 +168,7 @@
 		spent := startedBytes(nodes) - before
 		idle := startedBytes(nodes)
 		time.Sleep(time.Since(started))
-		spent -= startedBytes(nodes) - idle // the exchange at rest, in the same time
+		spent -= startedBytes(nodes) - idle // the idle exchange over the same time
 		points = append(points, Point{float64(kib), 2 * spent / targetNodes / changeRounds / 1024})
 		g.Stop()
 		_ = g.Wait() // servers end with their listeners
@@ -175,7 +176,8 @@
 	return []Series{newSeries("22 nodes in one zone", "KiB of the register", "KiB a node for each change, in and out", points)}, nil
 }
 
-// startedBytes is what the nodes' own exchanges have moved, both directions.
+// startedBytes returns the bytes, in both directions, of the exchanges that the
+// nodes have started.
 func startedBytes(nodes []*peer.Node) float64 {
 	var sum uint64
 	for _, n := range nodes {
--- a/measure/main.go
+++ b/measure/main.go
@@ -1,7 +1,7 @@
-// Command measure finds the slopes behind docs/CAPACITY.md and
-// docs/MEASUREMENTS.md on one machine, with small stand-ins, and writes them
-// as JSON and plots. The plain ways that the product's guards replace are here
-// too, so that each can be compared in one run.
+// Command measure runs the measurements of docs/CAPACITY.md and
+// docs/MEASUREMENTS.md on one machine, with stand-ins for the surrounding
+// systems. It fits a line to each series and writes JSON and plots. It also
+// contains simpler baselines of some mechanisms, to compare both in one run.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"redwinghall/daemon"
 )
 
-const help = `Measures the slopes of docs/CAPACITY.md and writes JSON and plots.
+const help = `Runs the measurements of docs/CAPACITY.md and writes the results as JSON and plots.
 
 Examples:
   measure --bin bin --out docs/measurements
@@ -29,7 +29,7 @@
 	Only []string `long:"only" description:"measure only this; may be repeated" value-name:"NAME"`
 }
 
-// measurement is one named run that gives one or more series.
+// measurement is a named measurement that returns one or more series.
 type measurement struct {
 	name string
 	run  func(o options) ([]Series, error)
@@ -96,7 +96,7 @@
 	return code
 }
 
-// nullWriter drops the logs of what runs inside this process.
+// nullWriter discards the logs of the components that run in this process.
 type nullWriter struct{}
 
 func (nullWriter) Write(p []byte) (int, error) { return len(p), nil }
--- a/measure/nodes.go
+++ b/measure/nodes.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	restTime      = 8 * time.Second
+	idleTime      = 8 * time.Second
 	submitRepeats = 4
 )
 
 var groupSizes = []int{5, 10, 20}
 
-// measureNodes runs real processes, a router and a controller for each node,
-// in three zones, and takes what they spend at rest and how long a decision
-// takes to be in force everywhere.
+// measureNodes runs real processes, a router and a controller for each node, in
+// three zones. It measures the resources that they use when idle, and the time
+// until an operator's change is in effect everywhere. A second run in one zone
+// varies the number of groups.
 func measureNodes(o options) ([]Series, error) {
 	var r nodesResult
 	for _, perZone := range []int{2, 4, 8, 16} {
@@ -55,7 +56,7 @@
 	}, nil
 }
 
-// nodesResult collects a point of each series for each size.
+// nodesResult collects one point of each series for each size.
 type nodesResult struct {
 	manifest, zoneOut, reads, commits []Point
 	routerCPU, watcher, holder        []Point
@@ -70,7 +71,7 @@
 	defer d.stop()
 	x := float64(d.layout.Pairs())
 	time.Sleep(2 * time.Second)
-	if err := r.rest(d, x); err != nil {
+	if err := r.measureIdle(d, x); err != nil {
 		return err
 	}
 	var slowest time.Duration
@@ -82,19 +83,20 @@
 		slowest = max(slowest, took)
 	}
 	r.manifest = append(r.manifest, Point{x, float64(slowest.Microseconds()) / 1e3})
-	took, err := d.zoneOut()
+	took, err := d.takeZoneOut()
 	r.zoneOut = append(r.zoneOut, Point{x, float64(took.Microseconds()) / 1e3})
 	return err
 }
 
-// zoneOut takes the last zone out through a controller of the first.
-func (d *deployment) zoneOut() (time.Duration, error) {
+// takeZoneOut takes the last zone out of service through a controller of the
+// first zone, and returns the time until its routers are not ready.
+func (d *deployment) takeZoneOut() (time.Duration, error) {
 	zone := d.layout.Zones[len(d.layout.Zones)-1]
-	if _, err := d.operator(0).SetZone(context.Background(), operator.Submission{SubmitID: "out"}, zone, redwinghall.ZoneOut); err != nil {
+	if _, err := d.operatorClient(0).SetZone(context.Background(), operator.Submission{SubmitID: "out"}, zone, redwinghall.ZoneOut); err != nil {
 		return 0, err
 	}
 	started := time.Now()
-	err := d.wait("the zone's routers are not ready", func() bool {
+	err := d.waitFor("the zone's routers are not ready", func() bool {
 		for i := d.layout.Pairs() - d.layout.PairsPerZone; i < d.layout.Pairs(); i++ {
 			if status, _ := d.readyz(i); status != http.StatusServiceUnavailable {
 				return false
@@ -105,7 +107,7 @@
 	return time.Since(started), err
 }
 
-// sample is what all processes have used so far.
+// sample contains the resources that all processes have used so far.
 type sample struct {
 	at           time.Time
 	routers      []time.Duration
@@ -127,12 +129,12 @@
 		return out, err
 	}
 	for i := range d.layout.Pairs() {
-		status, err := d.operator(i).Status(context.Background())
+		status, err := d.operatorClient(i).Status(context.Background())
 		if err != nil {
 			return out, err
 		}
 		out.leaseHolders[i] = status.LeaseHolder == status.Controller
-		bytes, err := d.exchanged(i)
+		bytes, err := d.exchangeBytes(i)
 		if err != nil {
 			return out, err
 		}
@@ -141,9 +143,10 @@
 	return out, d.get(d.layout.PlatformAddress()+table.PathCounts, &out.counts)
 }
 
-// exchanged returns a router's exchange bytes; what others start towards it is
-// the same on average as what it starts.
-func (d *deployment) exchanged(i int) (float64, error) {
+// exchangeBytes returns the bytes that a router has sent and received in
+// exchanges. Its metrics count the exchanges that it starts; the factor 2 adds
+// those that its peers start, which on average transfer as much.
+func (d *deployment) exchangeBytes(i int) (float64, error) {
 	var metrics map[string]struct {
 		Value float64 `json:"value"`
 	}
@@ -162,12 +165,12 @@
 
 func usageOf(processes []*process.Process) (cpu []time.Duration, largest float64, err error) {
 	for _, p := range processes {
-		one, err := cpuOf(p.PID())
+		one, err := processCPU(p.PID())
 		if err != nil {
 			return nil, 0, fmt.Errorf("process %d: %w", p.PID(), err)
 		}
 		cpu = append(cpu, one)
-		memory, err := residentOf(p.PID())
+		memory, err := processMemory(p.PID())
 		if err != nil {
 			return nil, 0, err
 		}
@@ -176,12 +179,12 @@
 	return cpu, largest, nil
 }
 
-func (r *nodesResult) rest(d *deployment, x float64) error {
+func (r *nodesResult) measureIdle(d *deployment, x float64) error {
 	before, err := d.sample()
 	if err != nil {
 		return err
 	}
-	time.Sleep(restTime)
+	time.Sleep(idleTime)
 	after, err := d.sample()
 	if err != nil {
 		return err
--- a/measure/place.go
+++ b/measure/place.go
@@ -10,8 +10,8 @@
 	"redwinghall/place"
 )
 
-// firstFit is the plain way: each wanted group takes the first VMs of the
-// first domain that has enough, in the order of the wants.
+// firstFit is the baseline placer: each group takes the first free VMs of the
+// first domain that has enough, in the order of the demands.
 type firstFit struct{}
 
 // Place implements place.Placer.
@@ -41,7 +41,7 @@
 	return out
 }
 
-// cluster makes VMs in domains of uneven sizes, as losses leave them.
+// cluster returns VMs in domains of random sizes, as they are after VMs were lost.
 func cluster(random *rand.Rand, count int) redwinghall.VMs {
 	var out redwinghall.VMs
 	for domain := 0; len(out) < count; domain++ {
@@ -54,8 +54,9 @@
 	return out
 }
 
-// wantsOf asks for groups of 4, 3 and 2 VMs that would fill the cluster.
-func wantsOf(vms int) []place.Demand {
+// demandOf returns a demand for groups of 2, 3 and 4 VMs that would fill a
+// cluster.
+func demandOf(vms int) []place.Demand {
 	model := func(id string, size int) redwinghall.Model {
 		return redwinghall.Model{ID: id, VMsPerReplica: size, AcceleratorsPerVM: 8}
 	}
@@ -70,7 +71,7 @@
 	var whole, one []Point
 	for _, n := range []int{80, 325, 650, 1300} {
 		vms := cluster(rand.New(rand.NewPCG(1, uint64(n))), n)
-		wants := wantsOf(n)
+		wants := demandOf(n)
 		whole = append(whole, Point{float64(n), fastest(func() { place.BestFit{}.Place(vms, wants) })})
 		single := []place.Demand{{Model: wants[2].Model, Count: 1}}
 		one = append(one, Point{float64(n), fastest(func() { place.BestFit{}.Place(vms, single) })})
@@ -90,7 +91,7 @@
 	return out, nil
 }
 
-// fastest returns the least time of several runs, in milliseconds.
+// fastest returns the shortest time of several runs, in milliseconds.
 func fastest(run func()) float64 {
 	least := time.Hour
 	for range 7 {
@@ -103,9 +104,9 @@
 
 const placeSeeds = 20
 
-// strandedBySize loses one VM in twenty, at random, and places everything on
-// what is left: the mean over the seeds of VMs that serve nothing although a
-// group is wanted, and of groups that found no place.
+// strandedBySize removes each VM with a probability of one in twenty and places
+// all groups on the remaining VMs. It returns the mean number over all seeds of
+// VMs that are in no group, and of groups that could not be placed.
 func strandedBySize(p place.Placer) (stranded, missing []Point) {
 	for _, n := range []int{65, 325, 1300} {
 		var sumStranded, sumMissing float64
@@ -118,7 +119,7 @@
 					left = append(left, vm)
 				}
 			}
-			wants := wantsOf(n)
+			wants := demandOf(n)
 			used, wanted := 0, 0
 			placements := p.Place(left, wants)
 			for _, one := range placements {
--- a/measure/poll.go
+++ b/measure/poll.go
@@ -13,7 +13,8 @@
 	"redwinghall/standin/engine"
 )
 
-// measurePoll asks engines for their reports and counts what passes.
+// measurePoll fetches the reports of engines and measures the bytes and the CPU
+// time.
 func measurePoll(options) ([]Series, error) {
 	g := kernel.NewGroup(context.Background())
 	defer func() {
@@ -61,7 +62,8 @@
 	}, nil
 }
 
-// countingRelay passes connections on and counts the bytes of both directions.
+// countingRelay starts a TCP proxy to target that counts the bytes of both
+// directions, and returns its address.
 func countingRelay(g *kernel.Group, target string, count *atomic.Int64) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/measure/request.go
+++ b/measure/request.go
@@ -17,16 +17,16 @@
 
 const requestWorkers = 8
 
-// measureRequest sends streams of several lengths through one router process
-// and takes the router's own processor time, and the times of a caller beside
-// a direct call to the engine stand-in in the same run.
+// measureRequest sends streams of several lengths through one router process. It
+// measures the router's CPU time, and the latency through the router and of direct
+// calls to the engine stand-in in the same run.
 func measureRequest(o options) ([]Series, error) {
 	d, err := startServing(o.Bin, shape{zones: 1, nodesPerZone: 1, groupsPerZone: 1, engine: engine.Config{}}, unchanged)
 	if err != nil {
 		return nil, err
 	}
 	defer d.stop()
-	status, err := d.operator(0).Status(context.Background())
+	status, err := d.operatorClient(0).Status(context.Background())
 	if err != nil {
 		return nil, err
 	}
@@ -36,12 +36,12 @@
 		c := load.Config{Routers: []string{d.layout.CallerAddress(0)}, Key: layout.DemoKey(measureAccount), Model: d.layout.Model,
 			Requests: max(600, 6000/tokens), Workers: requestWorkers, Tokens: tokens, Timeout: waitLimit}
 		load.Run(context.Background(), c) // warm up
-		before, err := cpuOf(d.routers[0].PID())
+		before, err := processCPU(d.routers[0].PID())
 		if err != nil {
 			return nil, err
 		}
 		result := load.Run(context.Background(), c)
-		after, err := cpuOf(d.routers[0].PID())
+		after, err := processCPU(d.routers[0].PID())
 		if err != nil {
 			return nil, err
 		}
@@ -63,7 +63,7 @@
 	}, nil
 }
 
-// medians returns the median time of a whole answer, one request at a time,
+// medians returns the median time of a complete response, one request at a time,
 // through the router and directly.
 func medians(c load.Config, leader string) (through, direct float64, err error) {
 	client := load.NewClient()
--- a/measure/series.go
+++ b/measure/series.go
@@ -15,26 +15,28 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Point is one measured value at one size.
+// Point is one measured value Y at size X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Series is one quantity over a size, with the straight line through it.
+// Series is a measured quantity by size, with a linear fit. Names and labels are
+// part of the stored results.
 type Series struct {
 	Name   string  `json:"name"`
 	XLabel string  `json:"x_label"`
 	YLabel string  `json:"y_label"`
 	Points []Point `json:"points"`
-	// Slope and Intercept are of the least-squares line, RSquared its fit; a
-	// low RSquared with a small slope means that the size does not matter.
+	// Slope and Intercept describe the least-squares line, and RSquared the
+	// quality of the fit. A low RSquared with a small slope means that the
+	// quantity does not depend on the size.
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
 	RSquared  float64 `json:"r_squared"`
 }
 
-// newSeries fits a line through the points.
+// newSeries returns a series with a line fitted to the points.
 func newSeries(name, xLabel, yLabel string, points []Point) Series {
 	s := Series{Name: name, XLabel: xLabel, YLabel: yLabel, Points: points}
 	if len(points) < 2 {
@@ -48,12 +50,12 @@
 	s.Intercept, s.Slope = stat.LinearRegression(xs, ys, nil, false)
 	s.RSquared = stat.RSquared(xs, ys, nil, s.Intercept, s.Slope)
 	if math.IsNaN(s.RSquared) || math.IsInf(s.RSquared, 0) {
-		s.RSquared = 1 // all values are equal: the line is exact
+		s.RSquared = 1 // all values are equal, so the fit is exact
 	}
 	return s
 }
 
-// String is one line for people.
+// String returns the series as one line of text.
 func (s Series) String() string {
 	var points []string
 	for _, p := range s.Points {
@@ -68,7 +70,8 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// write stores the series as NAME.json and a plot for each unit.
+// write writes the series to NAME.json, and one plot for each pair of axis
+// labels to NAME-LABELS.png.
 func write(dir, name string, series []Series) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -87,23 +90,23 @@
 		}
 	}
 	for unit, group := range byUnit {
-		file := name + "-" + strings.Map(plain, unit) + ".png"
-		if err := draw(filepath.Join(dir, file), group); err != nil {
+		file := name + "-" + strings.Map(fileNameRune, unit) + ".png"
+		if err := savePlot(filepath.Join(dir, file), group); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// plain keeps letters and digits in file names.
-func plain(r rune) rune {
+// fileNameRune replaces all characters but lower-case letters and digits by a hyphen.
+func fileNameRune(r rune) rune {
 	if r >= 'a' && r <= 'z' || r >= '0' && r <= '9' {
 		return r
 	}
 	return '-'
 }
 
-func draw(path string, series []Series) error {
+func savePlot(path string, series []Series) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = series[0].XLabel, series[0].YLabel
 	p.Y.Min = 0
--- a/measure/snapshot.go
+++ b/measure/snapshot.go
@@ -15,12 +15,12 @@
 	"redwinghall/route"
 )
 
-// world is the registers of one router.
-type world struct {
+// registerCounts is the number of registers of each kind that a router holds.
+type registerCounts struct {
 	groups, models, accounts int
 }
 
-func (w world) store() *peer.Store {
+func (w registerCounts) store() *peer.Store {
 	store := peer.NewStore()
 	manifest := redwinghall.Manifest{Name: "measure"}
 	for i := range w.accounts {
@@ -43,13 +43,14 @@
 func put(store *peer.Store, key string, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // a struct of plain fields always marshals
+		panic(err) // cannot fail: the struct has only plain fields
 	}
 	store.Apply(peer.Entry{Key: key, Number: 1, Value: data})
 }
 
-// board returns a router's board over the world, with every group whole.
-func (w world) board(now time.Time) (*route.Board, *peer.Store) {
+// selector returns a router's group selector over these registers, with every
+// group healthy, and the store that contains them.
+func (w registerCounts) selector(now time.Time) (*route.Board, *peer.Store) {
 	store := w.store()
 	b := route.NewBoard(route.BoardConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
 		Ramp: ramp.SingleOwner{}, Picker: route.TwoChoices{}})
@@ -62,11 +63,12 @@
 	return b, store
 }
 
-// measureSnapshot times the building of a new view, and its memory.
+// measureSnapshot measures the time and the memory that building a new view
+// takes.
 func measureSnapshot(options) ([]Series, error) {
-	groups := sweep([]int{20, 80, 325}, func(n int) world { return world{n, 4, 50} })
-	models := sweep([]int{5, 20, 80}, func(n int) world { return world{20, n, 50} })
-	accounts := sweep([]int{10, 100, 1000}, func(n int) world { return world{20, 4, n} })
+	groups := sweep([]int{20, 80, 325}, func(n int) registerCounts { return registerCounts{n, 4, 50} })
+	models := sweep([]int{5, 20, 80}, func(n int) registerCounts { return registerCounts{20, n, 50} })
+	accounts := sweep([]int{10, 100, 1000}, func(n int) registerCounts { return registerCounts{20, 4, n} })
 	return []Series{
 		newSeries("by groups", "groups", "microseconds to build a view", groups.time),
 		newSeries("by models", "models", "microseconds to build a view", models.time),
@@ -76,14 +78,14 @@
 	}, nil
 }
 
-type swept struct {
+type sweepResult struct {
 	time, memory []Point
 }
 
-func sweep(sizes []int, of func(int) world) swept {
-	var out swept
+func sweep(sizes []int, of func(int) registerCounts) sweepResult {
+	var out sweepResult
 	for _, n := range sizes {
-		b, store := of(n).board(time.Now())
+		b, store := of(n).selector(time.Now())
 		r := testing.Benchmark(func(tb *testing.B) {
 			tb.ReportAllocs()
 			for range tb.N {
@@ -97,12 +99,13 @@
 	return out
 }
 
-// measureRoute times one routing decision by the number of groups.
+// measureRoute measures the time of one routing decision, and of a refresh of
+// the groups' limits, by the number of groups.
 func measureRoute(options) ([]Series, error) {
 	var decision, refresh []Point
 	for _, n := range []int{20, 80, 160, 325} {
 		now := time.Now()
-		b, _ := world{n, 1, 10}.board(now)
+		b, _ := registerCounts{n, 1, 10}.selector(now)
 		r := testing.Benchmark(func(tb *testing.B) {
 			for i := range tb.N {
 				s := b.PickPrefix("model-0", now, uint64(i)*0x9e3779b97f4a7c15+1)
--- a/measure/takeover.go
+++ b/measure/takeover.go
@@ -10,17 +10,17 @@
 	"redwinghall/claim"
 )
 
-// takeover is the plain way of the paper "Idempotency Keys Are How You Make
-// Retries Safe in Distributed Systems": a claim that is held for longer than
+// takeover is the baseline policy, from the paper "Idempotency Keys Are How You
+// Make Retries Safe in Distributed Systems": a claim that is held for longer than
 // its lease is taken over, on the assumption that its holder is dead.
 type takeover struct {
 	lease time.Duration
 }
 
 // Evaluate implements claim.TakeoverPolicy.
-func (j takeover) Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (claim.Verdict, redwinghall.Claim) {
+func (t takeover) Evaluate(now time.Time, row redwinghall.Row, bodyHash string, bound time.Duration) (claim.Verdict, redwinghall.Claim) {
 	verdict, found := claim.NoTakeover{}.Evaluate(now, row, bodyHash, bound)
-	if found.State == redwinghall.ClaimHeld && now.Sub(found.At) > j.lease {
+	if found.State == redwinghall.ClaimHeld && now.Sub(found.At) > t.lease {
 		return claim.Proceed, found
 	}
 	return verdict, found
@@ -35,49 +35,52 @@
 	callerDeadline = 5 * time.Second
 )
 
-// fate is what happens to a holder between its claim and its recording, drawn
-// once for each key so that both judges meet the same failures.
-type fate struct {
-	dies    bool          // and never sends
-	runs    bool          // dies after it sent, before it recorded
-	freezes time.Duration // before it sends
-	// checked says that it freezes after its last look at its caller's
-	// deadline; otherwise it looks when it thaws, and does not send.
+// failure is what goes wrong at a holder between its claim and the record of the
+// outcome. It is drawn from a random source seeded by key, so that both policies
+// get the same failures.
+type failure struct {
+	dies    bool          // dies before it sends the call, unless runs is set
+	runs    bool          // dies after it sent the call, before it records the outcome
+	freezes time.Duration // suspended for so long before it sends the call
+	// checked means that it is suspended after its last check of the caller's
+	// deadline. Otherwise it checks when it resumes, and doesn't send the call
+	// if the deadline has passed.
 	checked bool
 }
 
-func drawFate(random *rand.Rand) fate {
+func drawFailure(random *rand.Rand) failure {
 	switch n := random.IntN(100); {
 	case n < 2:
-		return fate{dies: true}
+		return failure{dies: true}
 	case n < 4:
-		return fate{dies: true, runs: true}
+		return failure{dies: true, runs: true}
 	case n < 8:
-		return fate{freezes: time.Duration(random.IntN(300)) * time.Second, checked: random.IntN(2) == 0}
+		return failure{freezes: time.Duration(random.IntN(300)) * time.Second, checked: random.IntN(2) == 0}
 	default:
-		return fate{}
+		return failure{}
 	}
 }
 
-// outcomeOf counts what one judge makes of one key.
-type outcomeOf struct {
-	runs  int
-	stuck bool // never answered with its result
+// keyOutcome is the result of one key under one policy.
+type keyOutcome struct {
+	runs  int  // number of executions
+	stuck bool // no retry can get a recorded response
 }
 
-// measureTakeover lets both judges meet the same seeded failures on virtual
-// time: 2% of holders die before sending, 2% after it, 4% freeze up to 300 s.
+// measureTakeover simulates both policies in virtual time with the same seeded
+// failures: 2% of holders die before they send the call, 2% after it, and 4% are
+// suspended for up to 300 s.
 func measureTakeover(options) ([]Series, error) {
-	judges := []struct {
-		name  string
-		judge claim.TakeoverPolicy
+	policies := []struct {
+		name   string
+		policy claim.TakeoverPolicy
 	}{{"never taken over", claim.NoTakeover{}}, {"taken over after 60 s", takeover{lease: takeoverLease}}}
 	var out []Series
-	for _, j := range judges {
+	for _, p := range policies {
 		doubled, stuck := 0, 0
 		for key := range takeoverKeys {
 			random := rand.New(rand.NewPCG(7, uint64(key)))
-			o := playKey(j.judge, random)
+			o := simulateKey(p.policy, random)
 			if o.runs > 1 {
 				doubled++
 			}
@@ -86,44 +89,44 @@
 			}
 		}
 		out = append(out,
-			Series{Name: j.name, XLabel: "keys", YLabel: "keys that ran twice or more", Points: []Point{{takeoverKeys, float64(doubled)}}},
-			Series{Name: j.name, XLabel: "keys", YLabel: "keys without a recorded answer", Points: []Point{{takeoverKeys, float64(stuck)}}})
+			Series{Name: p.name, XLabel: "keys", YLabel: "keys that ran twice or more", Points: []Point{{takeoverKeys, float64(doubled)}}},
+			Series{Name: p.name, XLabel: "keys", YLabel: "keys without a recorded answer", Points: []Point{{takeoverKeys, float64(stuck)}}})
 	}
 	return out, nil
 }
 
-// sending is what a holder does when it is not dead: it sends its call, or
-// releases the key because its caller's time is over.
-type sending struct {
+// pendingCall is the next step of a holder that is alive at that time: it sends
+// its call, or releases the key because the caller's deadline has passed.
+type pendingCall struct {
 	at       time.Time
 	token    string
-	final    bool // the holder records after it
-	released bool
+	final    bool // the holder records the outcome
+	released bool // the holder releases the key and sends nothing
 }
 
-// ownClaim reports whether the row still holds this attempt's claim.
-func ownClaim(row redwinghall.Row, token string) bool {
+// holdsClaim reports whether the row still contains the claim with this token.
+func holdsClaim(row redwinghall.Row, token string) bool {
 	var c redwinghall.Claim
 	return json.Unmarshal(row.Value, &c) == nil && c.Token == token && c.State == redwinghall.ClaimHeld
 }
 
-// playKey plays one key: a first attempt and retries at fixed intervals, each
-// through another router, against one row.
-func playKey(judge claim.TakeoverPolicy, random *rand.Rand) outcomeOf {
+// simulateKey simulates one key: a first attempt and retries at fixed intervals,
+// each through another router, against one row.
+func simulateKey(policy claim.TakeoverPolicy, random *rand.Rand) keyOutcome {
 	start := time.Unix(0, 0)
-	var out outcomeOf
+	var out keyOutcome
 	row := redwinghall.Row{}
-	var queue []sending
+	var queue []pendingCall
 	attempt := func(now time.Time, token string) {
-		verdict, _ := judge.Evaluate(now, row, "h", takeoverLease)
+		verdict, _ := policy.Evaluate(now, row, "h", takeoverLease)
 		if verdict != claim.Proceed {
 			return
 		}
 		row.Version++
 		row.Value = redwinghall.Claim{Token: token, BodyHash: "h", State: redwinghall.ClaimHeld, At: now}.JSON()
-		f := drawFate(random)
+		f := drawFailure(random)
 		if !f.dies || f.runs {
-			queue = append(queue, sending{at: now.Add(f.freezes), token: token, final: !f.dies,
+			queue = append(queue, pendingCall{at: now.Add(f.freezes), token: token, final: !f.dies,
 				released: !f.checked && f.freezes > callerDeadline})
 		}
 	}
@@ -138,7 +141,7 @@
 			} else {
 				out.runs++
 			}
-			if s.final && ownClaim(row, s.token) {
+			if s.final && holdsClaim(row, s.token) {
 				row.Version++
 				row.Value = redwinghall.Claim{Token: s.token, BodyHash: "h", State: state, At: s.at}.JSON()
 			}
@@ -151,7 +154,7 @@
 	}
 	end := start.Add(time.Hour)
 	send(end)
-	verdict, found := judge.Evaluate(end, row, "h", takeoverLease)
+	verdict, found := policy.Evaluate(end, row, "h", takeoverLease)
 	out.stuck = verdict != claim.Replay && found.State != redwinghall.ClaimRan
 	return out
 }
--- a/measure/usage.go
+++ b/measure/usage.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// clockTicks is the kernel's USER_HZ, in which /proc counts processor time.
+// clockTicks is the kernel's USER_HZ: /proc gives CPU time in units of 1/USER_HZ
+// seconds.
 const clockTicks = 100
 
-// ownCPU returns the processor time of this process.
+// ownCPU returns the CPU time of this process.
 func ownCPU() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -21,14 +22,14 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// cpuOf returns the processor time of a process, from /proc/PID/stat.
-func cpuOf(pid int) (time.Duration, error) {
+// processCPU returns the CPU time of a process, from /proc/PID/stat.
+func processCPU(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	// Fields 14 and 15 are user and system time; the name before them may
-	// hold spaces and ends with a parenthesis.
+	// Fields 14 and 15 are user and system time. Field 2, the name, may contain
+	// spaces and ends with a parenthesis, so the fields are split after it.
 	fields := strings.Fields(string(data)[strings.LastIndexByte(string(data), ')')+1:])
 	user, err := strconv.Atoi(fields[11])
 	if err != nil {
@@ -41,8 +42,8 @@
 	return time.Duration(user+system) * time.Second / clockTicks, nil
 }
 
-// residentOf returns the resident memory of a process in MiB.
-func residentOf(pid int) (float64, error) {
+// processMemory returns the resident memory of a process in MiB.
+func processMemory(pid int) (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0, err
--- a/measure/zone.go
+++ b/measure/zone.go
@@ -17,23 +17,23 @@
 	"redwinghall/standin/load"
 )
 
-// The zone measurement: three zones of two groups of one VM that bear four
-// requests at once.
+// Parameters of the zone measurement: three zones with two groups each, of one
+// VM that serves up to four concurrent requests.
 const (
-	zoneSeconds  = 24
-	zoneOutAt    = 6
-	zoneInAt     = 16
-	zoneInFlight = 4
-	zoneGroups   = 2
-	zoneTokens   = 24
-	zoneLate     = 500 * time.Millisecond // an answer that takes longer is late
-	zoneDeadline = 2 * time.Second
-	zoneTakes    = 150 * time.Millisecond
+	zoneSeconds     = 24
+	zoneOutAt       = 6
+	zoneInAt        = 16
+	zoneInFlight    = 4
+	zoneGroups      = 2
+	zoneTokens      = 24
+	zoneLate        = 500 * time.Millisecond // a response that takes longer counts as late
+	zoneDeadline    = 2 * time.Second
+	zoneRequestTime = 150 * time.Millisecond // of one request: FirstToken and zoneTokens times TokenDelay
 )
 
-// measureZone sends a steady load while operators take one of three zones out
-// and back, as a balancer does: only to routers that say that they are ready.
-// What each second brought is the result.
+// measureZone sends a constant load while an operator takes one of three zones
+// out of service and back. As a load balancer does, it sends only to routers that
+// report ready. It counts the outcomes by second.
 func measureZone(o options) ([]Series, error) {
 	var out []Series
 	for _, percent := range []int{70, 95} {
@@ -48,15 +48,16 @@
 			newSeries(name+": whole, late", "second", "requests", points(r.late[:])),
 			newSeries(name+": refused", "second", "requests", points(r.refused[:])),
 			newSeries(name+": failed", "second", "requests", points(r.failed[:])),
-			newSeries(name+": begun in the zone", "second", "requests there", r.there))
+			newSeries(name+": begun in the zone", "second", "requests there", r.inZone))
 	}
 	return out, nil
 }
 
-// bySecond counts what became of the requests that were sent in each second.
-type bySecond struct {
+// secondCounts counts the outcomes of requests by the second in which they were
+// sent, and the requests that engines of the zone started in each second.
+type secondCounts struct {
 	sent, inTime, late, refused, failed [zoneSeconds]atomic.Int64
-	there                               []Point
+	inZone                              []Point
 }
 
 func points(counts []atomic.Int64) []Point {
@@ -74,7 +75,7 @@
 	}}
 }
 
-func runZoneLoad(bin string, percent int) (*bySecond, error) {
+func runZoneLoad(bin string, percent int) (*secondCounts, error) {
 	s := zoneShape()
 	d, err := startServing(bin, s, func(l *layout.Layout) {
 		l.VMsPerGroup = 1
@@ -87,11 +88,11 @@
 	if err := d.warmUp(); err != nil {
 		return nil, err
 	}
-	capacity := float64(2*zoneGroups*zoneInFlight) / zoneTakes.Seconds()
+	capacity := float64(2*zoneGroups*zoneInFlight) / zoneRequestTime.Seconds()
 	return d.steadyLoad(capacity * float64(percent) / 100)
 }
 
-// warmUp serves until no group is cold.
+// warmUp sends requests through every router, so that no group is cold.
 func (d *deployment) warmUp() error {
 	c := d.loadConfig()
 	for i := range d.layout.Pairs() {
@@ -108,21 +109,21 @@
 	return load.Config{Key: layout.DemoKey(measureAccount), Model: d.layout.Model, Tokens: zoneTokens, Timeout: zoneDeadline}
 }
 
-func (d *deployment) steadyLoad(rate float64) (*bySecond, error) {
-	out := &bySecond{}
+func (d *deployment) steadyLoad(rate float64) (*secondCounts, error) {
+	out := &secondCounts{}
 	var ready readyRouters
-	d.lookForReady(&ready)
+	d.updateReady(&ready)
 	g := kernel.NewGroup(context.Background())
 	started := time.Now()
 	g.Go("balancer", func(context.Context) error {
 		for time.Since(started) < zoneSeconds*time.Second {
-			d.lookForReady(&ready)
+			d.updateReady(&ready)
 			time.Sleep(100 * time.Millisecond)
 		}
 		return nil
 	})
-	g.Go("operator", func(ctx context.Context) error { return d.outAndIn(ctx, started) })
-	g.Go("engines", func(context.Context) error { return d.countThere(started, out) })
+	g.Go("operator", func(ctx context.Context) error { return d.takeZoneOutAndIn(ctx, started) })
+	g.Go("engines", func(context.Context) error { return d.countRequestsInZone(started, out) })
 
 	client := load.NewClient()
 	requests := kernel.NewGroup(context.Background())
@@ -145,7 +146,7 @@
 	return out, errors.Join(requests.Wait(), g.Wait())
 }
 
-func (b *bySecond) add(second int, a load.Response, took time.Duration) {
+func (b *secondCounts) add(second int, a load.Response, took time.Duration) {
 	switch {
 	case a.Code != "":
 		b.refused[second].Add(1)
@@ -158,7 +159,8 @@
 	}
 }
 
-// readyRouters is what a balancer knows.
+// readyRouters contains the addresses of the routers that are ready, as a load
+// balancer sees them.
 type readyRouters struct {
 	mu        sync.Mutex
 	addresses []string
@@ -170,7 +172,7 @@
 	return r.addresses[i%len(r.addresses)]
 }
 
-func (d *deployment) lookForReady(r *readyRouters) {
+func (d *deployment) updateReady(r *readyRouters) {
 	var found []string
 	for i := range d.layout.Pairs() {
 		if status, _ := d.readyz(i); status == http.StatusOK {
@@ -185,8 +187,8 @@
 	r.addresses = found
 }
 
-// outAndIn takes the second zone out of service and back.
-func (d *deployment) outAndIn(ctx context.Context, started time.Time) error {
+// takeZoneOutAndIn takes the second zone out of service and back.
+func (d *deployment) takeZoneOutAndIn(ctx context.Context, started time.Time) error {
 	zone := d.layout.Zones[1]
 	for _, step := range []struct {
 		at    time.Duration
@@ -197,15 +199,16 @@
 		{zoneInAt * time.Second, redwinghall.ZoneIn, operator.Submission{SubmitID: "in", Replaces: 1}},
 	} {
 		time.Sleep(time.Until(started.Add(step.at)))
-		if _, err := d.operator(0).SetZone(ctx, step.sub, zone, step.state); err != nil {
+		if _, err := d.operatorClient(0).SetZone(ctx, step.sub, zone, step.state); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// countThere takes, each second, how many requests the zone's engines began.
-func (d *deployment) countThere(started time.Time, out *bySecond) error {
+// countRequestsInZone records for each second the number of requests that the
+// second zone's engines started.
+func (d *deployment) countRequestsInZone(started time.Time, out *secondCounts) error {
 	last := -1
 	for second := range zoneSeconds + 1 {
 		time.Sleep(time.Until(started.Add(time.Duration(second) * time.Second)))
@@ -220,7 +223,7 @@
 			}
 		}
 		if last >= 0 {
-			out.there = append(out.there, Point{float64(second - 1), float64(total - last)})
+			out.inZone = append(out.inZone, Point{float64(second - 1), float64(total - last)})
 		}
 		last = total
 	}
