--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -13,10 +13,10 @@
 	"redwinghall/kernel"
 )
 
-// room is a source with a number of units.
-type room struct{ free int }
+// slots is a source of slots.
+type slots struct{ free int }
 
-func (r *room) take() (int, bool) {
+func (r *slots) take() (int, bool) {
 	if r.free == 0 {
 		return 0, false
 	}
@@ -28,11 +28,12 @@
 	return redwinghall.ClientAccount{ID: id, Class: redwinghall.ClassInteractive, Weight: weight, MaxQueued: queued}
 }
 
-// waiters enters count requests of an account and notes who gets through.
-func waiters(g *kernel.Group, gate *admit.Gate[int], a redwinghall.ClientAccount, count int, order *[]string) {
+// startWaiters starts count requests of an account and appends the account to order
+// for each that is admitted.
+func startWaiters(g *kernel.Group, gate *admit.Gate[int], a redwinghall.ClientAccount, count int, order *[]string) {
 	for range count {
-		g.Go("enter", func(ctx context.Context) error {
-			_, err := gate.Enter(ctx, time.Now(), a)
+		g.Go("acquire", func(ctx context.Context) error {
+			_, err := gate.Acquire(ctx, time.Now(), a)
 			if err == nil {
 				*order = append(*order, a.ID)
 			}
@@ -41,28 +42,27 @@
 	}
 }
 
-// let frees one unit and waits until it is used.
-func let(gate *admit.Gate[int], r *room) {
+// freeSlot frees one slot and waits until it is used.
+func freeSlot(gate *admit.Gate[int], r *slots) {
 	r.free++
 	gate.Wake(time.Now())
 	synctest.Wait()
 }
 
-// A reports job floods the router before dawn, and drivers wait behind it.
-// Order: many requests of one account queue, then a few of another.
-// Cause: one queue for all, first in, first out.
+// One account queues many requests, then another queues a few. The few must not wait
+// for all of the first account, as they would in a single FIFO queue.
 func TestFloodingAccountDoesNotStarveAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		g := kernel.NewGroup(t.Context())
 		var order []string
-		waiters(g, gate, account("flood", 1, 1000), 100, &order)
+		startWaiters(g, gate, account("flood", 1, 1000), 100, &order)
 		synctest.Wait()
-		waiters(g, gate, account("drivers", 1, 1000), 5, &order)
+		startWaiters(g, gate, account("drivers", 1, 1000), 5, &order)
 		synctest.Wait()
 		for range 12 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		count := 0
 		for _, id := range order {
@@ -72,23 +72,23 @@
 		}
 		require.Equal(t, 5, count, "%v", order)
 		for range 93 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		require.NoError(t, g.Wait())
 	})
 }
 
-func TestWeightsShareTheRoom(t *testing.T) {
+func TestWeightsDivideSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		g := kernel.NewGroup(t.Context())
 		var order []string
-		waiters(g, gate, account("heavy", 3, 1000), 40, &order)
-		waiters(g, gate, account("light", 1, 1000), 40, &order)
+		startWaiters(g, gate, account("heavy", 3, 1000), 40, &order)
+		startWaiters(g, gate, account("light", 1, 1000), 40, &order)
 		synctest.Wait()
 		for range 40 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		heavy := 0
 		for _, id := range order {
@@ -98,7 +98,7 @@
 		}
 		require.InDelta(t, 30, heavy, 1)
 		for range 40 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		require.NoError(t, g.Wait())
 	})
@@ -106,127 +106,126 @@
 
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		g := kernel.NewGroup(t.Context())
 		var order []string
-		waiters(g, gate, account("a", 1, 3), 3, &order)
+		startWaiters(g, gate, account("a", 1, 3), 3, &order)
 		synctest.Wait()
-		_, err := gate.Enter(t.Context(), time.Now(), account("a", 1, 3))
+		_, err := gate.Acquire(t.Context(), time.Now(), account("a", 1, 3))
 		require.Equal(t, admit.QueueFull, redwinghall.KindOf[admit.Kind](err))
 
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = gate.Enter(ctx, time.Now(), account("b", 1, 3))
+		_, err = gate.Acquire(ctx, time.Now(), account("b", 1, 3))
 		require.Equal(t, admit.DeadlinePassed, redwinghall.KindOf[admit.Kind](err))
-		require.Equal(t, 3, gate.Waiting(), "who gave up does not wait")
+		require.Equal(t, 3, gate.Waiting(), "a request that timed out must leave the queue")
 		for range 3 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		require.NoError(t, g.Wait())
 	})
 }
 
-// A road crew waits ten seconds to read that there is no time left.
-// Order: one request passes each second; a request with two seconds left
-// queues behind ten others. Cause: nobody compared the wait with the time left.
-func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
+// A request with two seconds left arrives while 15 others wait and one is served each
+// second. It must be refused at once, not after its deadline. This fails if the
+// expected wait is not compared with the remaining time.
+func TestRequestThatCannotMeetItsDeadlineIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		g := kernel.NewGroup(t.Context())
 		var order []string
 		a := account("a", 1, 1000)
-		waiters(g, gate, a, 20, &order)
+		startWaiters(g, gate, a, 20, &order)
 		synctest.Wait()
 		for range 5 {
 			time.Sleep(time.Second)
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		before := time.Now()
-		_, err := gate.Enter(ctx, before, a)
+		_, err := gate.Acquire(ctx, before, a)
 		require.Equal(t, admit.DeadlineTooShort, redwinghall.KindOf[admit.Kind](err))
-		require.Equal(t, before, time.Now(), "at once")
+		require.Equal(t, before, time.Now(), "must be refused without waiting")
 		require.GreaterOrEqual(t, gate.RetryAfter(before), 10*time.Second)
 		for range 15 {
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		require.NoError(t, g.Wait())
 	})
 }
 
-// A lone request after a quiet night must not be refused because requests
-// were rare before.
-func TestQuietTimesSayNothingOfTheWait(t *testing.T) {
+// A request after an idle period must not be refused because the intervals between
+// earlier requests were long.
+func TestIdleTimeIsNoServiceTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		a := account("a", 1, 10)
 		for range 50 {
 			r.free = 1
-			_, err := gate.Enter(t.Context(), time.Now(), a)
+			_, err := gate.Acquire(t.Context(), time.Now(), a)
 			require.NoError(t, err)
 			time.Sleep(time.Minute)
 		}
 		g := kernel.NewGroup(t.Context())
-		g.Go("enter", func(ctx context.Context) error {
+		g.Go("acquire", func(ctx context.Context) error {
 			ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 			defer cancel()
-			_, err := gate.Enter(ctx, time.Now(), a)
+			_, err := gate.Acquire(ctx, time.Now(), a)
 			return err
 		})
 		synctest.Wait()
-		let(gate, r)
+		freeSlot(gate, r)
 		require.NoError(t, g.Wait())
 	})
 }
 
-// After a pause in which nobody waited, a request with seconds left is refused
-// as hopeless.
-// Order: two requests pass a second apart; the third gives up; an hour later
-// others wait. Cause: the hour counted as the time that one request takes.
-func TestWhoGivesUpLeavesNoTrace(t *testing.T) {
+// Two requests are served a second apart, a third reaches its deadline while waiting,
+// and an hour later new ones wait. The hour must not count as a service time, or a
+// request with seconds left is refused.
+func TestTimedOutRequestDoesNotSkewServiceRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &room{}
+		r := &slots{}
 		gate := admit.NewGate(r.take)
 		a := account("a", 1, 100)
 		g := kernel.NewGroup(t.Context())
 		var order []string
-		waiters(g, gate, a, 2, &order)
+		startWaiters(g, gate, a, 2, &order)
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		g.Go("gives up", func(context.Context) error {
-			_, err := gate.Enter(ctx, time.Now(), a)
+		g.Go("times out", func(context.Context) error {
+			_, err := gate.Acquire(ctx, time.Now(), a)
 			require.Equal(t, admit.DeadlinePassed, redwinghall.KindOf[admit.Kind](err))
 			return nil
 		})
 		synctest.Wait()
 		for range 2 {
 			time.Sleep(time.Second)
-			let(gate, r)
+			freeSlot(gate, r)
 		}
 		require.NoError(t, g.Wait())
 		time.Sleep(time.Hour)
 
 		g = kernel.NewGroup(t.Context())
-		waiters(g, gate, a, 2, &order)
+		startWaiters(g, gate, a, 2, &order)
 		synctest.Wait()
-		let(gate, r)
+		freeSlot(gate, r)
 		require.Less(t, gate.RetryAfter(time.Now()), 5*time.Second)
-		let(gate, r)
+		freeSlot(gate, r)
 		require.NoError(t, g.Wait())
 	})
 }
 
-func BenchmarkEnter(b *testing.B) {
+func BenchmarkAcquire(b *testing.B) {
 	gate := admit.NewGate(func() (int, bool) { return 1, true })
 	a := account("a", 1, 10)
 	now := time.Now()
 	for b.Loop() {
-		if _, err := gate.Enter(b.Context(), now, a); err != nil {
+		if _, err := gate.Acquire(b.Context(), now, a); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/endpoint/lease.go
+++ b/endpoint/lease.go
@@ -30,7 +30,7 @@
 // controller holds the lease, and nil if it does not hold it. The function checks
 // the end of the lease at each request, because a controller that was paused may
 // resume after another has acquired the lease.
-func (m *Manager) granter(now time.Time, holds bool) peer.Granter {
+func (m *Manager) granter(now time.Time, holds bool) peer.GrantFunc {
 	if !holds {
 		return nil
 	}
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -16,72 +16,73 @@
 )
 
 const (
-	// wholeAnswer is the size up to which an answer is read whole before it is
-	// passed on, so that a broken one can be replaced by a second try.
-	wholeAnswer = 256 << 10
-	// maxDials bounds how many endpoints may refuse a connection to one request.
+	// maxBufferedResponse is the size up to which a response is read completely
+	// before it is forwarded, so that a truncated one can be replaced by a retry.
+	maxBufferedResponse = 256 << 10
+	// maxDials bounds how many failed connection attempts to endpoints one request
+	// may cause.
 	maxDials = 3
-	// tryShare is the part of the time left that one endpoint gets while
-	// another may still be tried.
-	tryShare = 0.4
+	// attemptTimeShare is the fraction of the remaining time that one attempt gets
+	// while a retry is still possible.
+	attemptTimeShare = 0.4
 )
 
-var errEncoded = errors.New("the answer is not the endpoint's own bytes")
+var errEncodedResponse = errors.New("the response is encoded, so its bytes are not the endpoint's own")
 
-// try is one attempt's end, as far as the next step depends on it.
-type try struct {
-	answer *Answer
-	body   []byte
-	err    error // of kind NotSent or Unknown
-	// notRun: the endpoint promised that it did not run the request.
+// plainAttempt is the result of one attempt at a plain service.
+type plainAttempt struct {
+	response *Response
+	body     []byte
+	err      error // of kind NotSent or Unknown
+	// notRun is true if the endpoint guaranteed that it did not execute the request.
 	notRun bool
-	// rest is what follows body of an answer that is too large to be kept; nil
-	// if body is all. It is closed by end.
-	rest io.Reader
-	end  func()
+	// unread is the remainder of a response that is too large to be buffered; nil if
+	// body is complete. It must be closed by release.
+	unread  io.Reader
+	release func()
 }
 
-// close ends the connection of an answer that was not read whole.
-func (t try) close() {
-	if t.end != nil {
-		t.end()
+// close releases the connection of a response that was not read completely.
+func (t plainAttempt) close() {
+	if t.release != nil {
+		t.release()
 	}
 }
 
-// plainCall is the progress of one request to a plain service.
+// plainCall is the state of one request to a plain service.
 type plainCall struct {
-	g     *Gateway
-	r     *Request
-	tried map[string]bool
-	sent  int // endpoints that may have seen the request
-	dials int // connections that were refused
-	// mayHaveRun says that an endpoint may have run the request.
+	g           *Gateway
+	r           *Request
+	tried       map[string]bool
+	sent        int // attempts whose request may have reached an endpoint
+	failedDials int // failed connection attempts
+	// mayHaveRun is true if an endpoint may have executed the request.
 	mayHaveRun bool
 }
 
-// servePlain answers a request whose answer is one body.
+// servePlain handles a request whose response is a single body.
 func (g *Gateway) servePlain(ctx context.Context, w http.ResponseWriter, r *Request) {
 	call := &plainCall{g: g, r: r, tried: map[string]bool{}}
-	if !call.fits(time.Now()) {
+	if !call.fitsPlannedStop(time.Now()) {
 		g.refuse(w, r, g.stop().refusal(time.Now(), g.callTimes.longest(r.Route.Name)))
 		return
 	}
-	defer call.noteTime()
+	defer call.recordCallTime()
 	for {
-		choice, none := g.choosePlain(ctx, r, g.ask(r, call.tried))
-		if none != nil && g.awaitEndpoints(ctx, time.Now(), none) {
-			r.view = g.Book.View()
+		choice, refused := g.choosePlain(ctx, r, g.balanceRequest(r, call.tried))
+		if refused != nil && g.awaitEndpoints(ctx, time.Now(), refused) {
+			r.view = g.Cache.View()
 			continue
 		}
-		if none != nil {
-			g.refuse(w, r, call.refusalOfNone(none))
+		if refused != nil {
+			g.refuse(w, r, call.noEndpointRefusal(refused))
 			return
 		}
-		last := call.once(ctx, choice)
+		last := call.attempt(ctx, choice)
 		call.mayHaveRun = call.mayHaveRun || (!last.notRun && redwinghall.KindOf[Kind](last.err) != NotSent)
-		if call.again(ctx, last) {
+		if call.shouldRetry(ctx, last) {
 			last.close()
-			r.view = g.Book.View()
+			r.view = g.Cache.View()
 			continue
 		}
 		defer last.close()
@@ -91,151 +92,153 @@
 }
 
 // choosePlain chooses the endpoint of a plain service.
-func (g *Gateway) choosePlain(ctx context.Context, r *Request, ask balance.Request) (balance.Choice, *balance.Refusal) {
+func (g *Gateway) choosePlain(ctx context.Context, r *Request, req balance.Request) (balance.Choice, *balance.Refusal) {
 	return g.withinLimits(ctx, r, func(now time.Time) (balance.Choice, *balance.Refusal) {
-		return g.Tracker.ChoosePlain(now, r.view.ByService[r.Service.Name], r.view.ZonesOut, ask)
+		return g.Tracker.ChoosePlain(now, r.view.ByService[r.Service.Name], r.view.ZonesOut, req)
 	})
 }
 
-// fits reports whether a node that may be stopping has time for one more try.
-// Only the calls of one route resemble each other: a service may answer
-// look-ups at once and take seconds for bookings.
-func (c *plainCall) fits(now time.Time) bool {
-	return c.g.stop().Takes(now, c.g.callTimes.longest(c.r.Route.Name), c.r.Deadline)
+// fitsPlannedStop reports whether one more attempt would end before a planned stop of
+// this node. The estimate is kept per route, since calls of one service differ: it
+// may answer look-ups immediately and take seconds for bookings.
+func (c *plainCall) fitsPlannedStop(now time.Time) bool {
+	return c.g.stop().Accepts(now, c.g.callTimes.longest(c.r.Route.Name), c.r.Deadline)
 }
 
-// noteTime remembers how long the call took, whatever came of it.
-func (c *plainCall) noteTime() {
+// recordCallTime records the duration of the call for its route, whatever its result.
+func (c *plainCall) recordCallTime() {
 	if c.sent > 0 {
-		c.g.callTimes.note(c.r.Route.Name, time.Since(c.r.Arrived))
+		c.g.callTimes.record(c.r.Route.Name, time.Since(c.r.Arrived))
 	}
 }
 
-// refusalOfNone refuses a request for which no endpoint is left. It promises
-// that nothing ran only if nothing was sent.
-func (c *plainCall) refusalOfNone(none *balance.Refusal) refusal {
-	why := c.g.refusalOfNone(none)
+// noEndpointRefusal returns the refusal of a request for which no endpoint is left.
+// It uses a status that guarantees that nothing was executed only if no endpoint may
+// have run the request.
+func (c *plainCall) noEndpointRefusal(refused *balance.Refusal) refusal {
+	why := c.g.noEndpointRefusal(refused)
 	if c.mayHaveRun {
 		why.status = http.StatusBadGateway
 	}
 	return why
 }
 
-// once sends the request to one endpoint and reads the answer, a large one in part.
-func (c *plainCall) once(ctx context.Context, choice balance.Choice) try {
+// attempt sends the request to one endpoint and reads the response, a large one only
+// in part.
+func (c *plainCall) attempt(ctx context.Context, choice balance.Choice) plainAttempt {
 	c.tried[choice.Endpoint.ID] = true
-	ctx, cancel := context.WithTimeout(ctx, c.tryTime(time.Now()))
-	answer, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forward(c.r, choice.Endpoint, ""))
+	ctx, cancel := context.WithTimeout(ctx, c.attemptTimeout(time.Now()))
+	response, err := c.g.Upstream.Send(ctx, choice.Endpoint, c.r, c.g.forwardHeaders(c.r, choice.Endpoint, ""))
 	if err != nil {
 		cancel()
-		return c.failed(choice, err)
+		return c.recordSendFailure(choice, err)
 	}
 	c.sent++
-	c.g.noteLimit(c.r, choice, answer)
-	last := c.read(answer)
-	last.end = func() {
-		_ = answer.Body.Close() // what was needed of it was read
+	c.g.recordLimit(c.r, choice, response)
+	last := c.readResponse(response)
+	last.release = func() {
+		_ = response.Body.Close() // the part that is needed has been read
 		cancel()
 	}
-	c.note(choice, last)
-	if last.rest == nil {
-		last.end()
-		last.end = nil
+	c.recordAttempt(choice, last)
+	if last.unread == nil {
+		last.release()
+		last.release = nil
 	}
 	return last
 }
 
-// read reads an answer as far as it is kept.
-func (c *plainCall) read(answer *Answer) try {
-	last := try{answer: answer, notRun: answer.Verdict.NotRun}
+// readResponse reads up to maxBufferedResponse bytes of a response.
+func (c *plainCall) readResponse(response *Response) plainAttempt {
+	last := plainAttempt{response: response, notRun: response.Info.NotRun}
 	var err error
-	last.body, err = io.ReadAll(io.LimitReader(answer.Body, wholeAnswer+1))
-	if err == nil && answer.Verdict.Encoded {
-		err = errEncoded
+	last.body, err = io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse+1))
+	if err == nil && response.Info.Encoded {
+		err = errEncodedResponse
 	}
 	if err != nil && !last.notRun {
-		return try{err: redwinghall.NewOpError("plainCall.read", Unknown, err)}
+		return plainAttempt{err: redwinghall.NewOpError("plainCall.readResponse", Unknown, err)}
 	}
-	if len(last.body) > wholeAnswer {
-		last.rest = answer.Body
+	if len(last.body) > maxBufferedResponse {
+		last.unread = response.Body
 	}
 	return last
 }
 
-// note tells the tracker, and the log, how an attempt ended.
-func (c *plainCall) note(choice balance.Choice, last try) {
+// recordAttempt reports the result of an attempt to the tracker and logs it.
+func (c *plainCall) recordAttempt(choice balance.Choice, last plainAttempt) {
 	now := time.Now()
 	if last.err != nil {
 		choice.Attempt.Done(now, false)
-		klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
+		klog.InfoS("attempt_failed", "request", c.r.Info.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
 			"kind", redwinghall.KindOf[Kind](last.err), "running", choice.Running, "err", last.err)
 		return
 	}
-	load := last.answer.Verdict.Load
+	load := last.response.Info.Load
 	if load.Known {
 		choice.Attempt.RecordLoad(now, load.Running+load.Waiting)
 	}
-	choice.Attempt.Done(now, !last.notRun && last.answer.Status < http.StatusInternalServerError)
-	if last.answer.Status == http.StatusMisdirectedRequest {
+	choice.Attempt.Done(now, !last.notRun && last.response.Status < http.StatusInternalServerError)
+	if last.response.Status == http.StatusMisdirectedRequest {
 		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	}
-	klog.InfoS("answered", "request", c.r.Ask.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "status", last.answer.Status,
+	klog.InfoS("answered", "request", c.r.Info.ID, "route", c.r.Route.Name, "endpoint", choice.Endpoint.ID, "status", last.response.Status,
 		"not_run", last.notRun, "running", choice.Running, "load_age", choice.Age, "attempts", c.sent, "took", now.Sub(c.r.Arrived),
-		"configuration", c.r.version())
+		"configuration", c.r.configVersion())
 }
 
-// tryTime is how long one endpoint may take.
-func (c *plainCall) tryTime(now time.Time) time.Duration {
+// attemptTimeout returns the timeout of the next attempt.
+func (c *plainCall) attemptTimeout(now time.Time) time.Duration {
 	left := c.r.Left(now)
 	if c.r.Idempotent() && c.sent+1 < c.r.Route.MaxAttempts {
-		return time.Duration(tryShare * float64(left))
+		return time.Duration(attemptTimeShare * float64(left))
 	}
 	return left
 }
 
-// failed ends a visit that brought no answer.
-func (c *plainCall) failed(choice balance.Choice, err error) try {
+// recordSendFailure records and logs an attempt that got no response.
+func (c *plainCall) recordSendFailure(choice balance.Choice, err error) plainAttempt {
 	now := time.Now()
 	choice.Attempt.Done(now, false)
 	if redwinghall.KindOf[Kind](err) == NotSent {
-		c.dials++
+		c.failedDials++
 		c.g.Tracker.MarkUnreachable(now, choice.Endpoint.ID)
 	} else {
 		c.sent++
 	}
-	klog.InfoS("attempt_failed", "request", c.r.Ask.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
+	klog.InfoS("attempt_failed", "request", c.r.Info.ID, "endpoint", choice.Endpoint.ID, "address", choice.Endpoint.Address,
 		"kind", redwinghall.KindOf[Kind](err), "running", choice.Running, "err", err)
-	return try{err: err}
+	return plainAttempt{err: err}
 }
 
-// again reports whether another endpoint may get the request.
-func (c *plainCall) again(ctx context.Context, last try) bool {
+// shouldRetry reports whether the request may be sent to another endpoint.
+func (c *plainCall) shouldRetry(ctx context.Context, last plainAttempt) bool {
 	now := time.Now()
 	switch {
-	case ctx.Err() != nil || !c.fits(now):
+	case ctx.Err() != nil || !c.fitsPlannedStop(now):
 		return false
 	case redwinghall.KindOf[Kind](last.err) == NotSent:
-		return c.dials < maxDials && c.r.Left(now) > leastLeft
+		return c.failedDials < maxDials && c.r.Left(now) > minRemaining
 	case last.notRun:
 		return c.g.mayRetry(c.r, c.sent, now)
 	case !c.r.Idempotent():
 		return false
-	case last.err != nil || last.answer.Status >= http.StatusInternalServerError:
+	case last.err != nil || last.response.Status >= http.StatusInternalServerError:
 		return c.g.mayRetry(c.r, c.sent, now)
 	}
 	return false
 }
 
-// finishPlain gives the caller what the last try brought.
-func (g *Gateway) finishPlain(ctx context.Context, w http.ResponseWriter, call *plainCall, last try) {
+// finishPlain sends the caller the result of the last attempt.
+func (g *Gateway) finishPlain(ctx context.Context, w http.ResponseWriter, call *plainCall, last plainAttempt) {
 	r := call.r
 	switch {
-	case last.answer != nil && last.notRun && !call.mayHaveRun:
-		g.refuse(w, r, refusal{status: http.StatusServiceUnavailable, reason: "endpoint_busy", retryAfter: retryUnknown})
-	case last.answer != nil && !last.notRun:
-		g.pass(w, r, last)
+	case last.response != nil && last.notRun && !call.mayHaveRun:
+		g.refuse(w, r, refusal{status: http.StatusServiceUnavailable, reason: "endpoint_busy", retryAfter: defaultRetryAfter})
+	case last.response != nil && !last.notRun:
+		g.forwardResponse(w, r, last)
 	case redwinghall.KindOf[Kind](last.err) == NotSent && !call.mayHaveRun && ctx.Err() == nil:
-		g.refuse(w, r, refusal{status: http.StatusServiceUnavailable, reason: balance.Unreachable, retryAfter: retryUnknown})
+		g.refuse(w, r, refusal{status: http.StatusServiceUnavailable, reason: balance.Unreachable, retryAfter: defaultRetryAfter})
 	case errors.Is(ctx.Err(), context.Canceled):
 		g.callerGone(r)
 	case ctx.Err() != nil:
@@ -245,36 +248,37 @@
 	}
 }
 
-// pass gives the caller the endpoint's answer as it is.
+// forwardResponse sends the endpoint's response to the caller unchanged.
 //
-// Guard: 408, 429 and 503 tell a caller that its request has not run. An
-// endpoint that sends one of them without that promise may have run it, so the
-// caller gets 502, which promises nothing.
-func (g *Gateway) pass(w http.ResponseWriter, r *Request, last try) {
-	status := last.answer.Status
-	if promises(status) || (status < http.StatusMultipleChoices && !whole(r, last.answer)) {
+// Statuses 408, 421, 429 and 503 tell a caller that its request was not executed. An
+// endpoint that sends one of them without that guarantee may have executed the
+// request, so the caller gets 502, which guarantees nothing.
+func (g *Gateway) forwardResponse(w http.ResponseWriter, r *Request, last plainAttempt) {
+	status := last.response.Status
+	if statusMeansNotRun(status) || (status < http.StatusMultipleChoices && !signedFor(r, last.response)) {
 		g.refuse(w, r, refusal{status: http.StatusBadGateway, reason: "answer_unusable"})
 		return
 	}
-	platform.CopyAnswer(w.Header(), last.answer.Header)
+	platform.CopyResponseHeaders(w.Header(), last.response.Header)
 	w.WriteHeader(status)
-	if err := passBody(w, last); err != nil {
-		klog.InfoS("answer_broken_off", "request", r.Ask.ID, "status", status, "err", err)
-		panic(http.ErrAbortHandler) // an answer that ends early must not look complete
+	if err := writeBody(w, last); err != nil {
+		klog.InfoS("answer_broken_off", "request", r.Info.ID, "status", status, "err", err)
+		panic(http.ErrAbortHandler) // a truncated response must not look complete
 	}
 	g.Metrics.Answered(r, status, time.Since(r.Arrived))
 }
 
-func passBody(w io.Writer, last try) error {
-	if _, err := w.Write(last.body); err != nil || last.rest == nil {
+func writeBody(w io.Writer, last plainAttempt) error {
+	if _, err := w.Write(last.body); err != nil || last.unread == nil {
 		return err
 	}
-	_, err := io.Copy(w, last.rest)
+	_, err := io.Copy(w, last.unread)
 	return err
 }
 
-// promises reports whether a status says that nothing ran.
-func promises(status int) bool {
+// statusMeansNotRun reports whether a status tells the caller that its request was
+// not executed.
+func statusMeansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -282,20 +286,21 @@
 	return false
 }
 
-// whole reports whether a success is the endpoint's own: signed, and for this request.
-func whole(r *Request, answer *Answer) bool {
-	return answer.Verdict.Signed && answer.Verdict.RequestID == r.Ask.ID
+// signedFor reports whether a successful response is signed by the endpoint and
+// belongs to this request.
+func signedFor(r *Request, response *Response) bool {
+	return response.Info.Signed && response.Info.RequestID == r.Info.ID
 }
 
 func (g *Gateway) callerGone(r *Request) {
-	klog.InfoS("caller_gone", "request", r.Ask.ID, "route", r.Route.Name, "after", time.Since(r.Arrived), "node_stopping", g.stop().Active())
+	klog.InfoS("caller_gone", "request", r.Info.ID, "route", r.Route.Name, "after", time.Since(r.Arrived), "node_stopping", g.stop().Active())
 	g.Metrics.CallerGone(r)
 	panic(http.ErrAbortHandler)
 }
 
-// forward returns what is added to a request for an endpoint.
-func (g *Gateway) forward(r *Request, e *fleet.Endpoint, lastEvent string) platform.Forward {
-	return platform.Forward{
-		Left: r.Left(time.Now()), Endpoint: e.ID, Account: r.account(), Priority: r.Priority(), LastEvent: lastEvent,
+// forwardHeaders returns the headers that are added to a request for an endpoint.
+func (g *Gateway) forwardHeaders(r *Request, e *fleet.Endpoint, lastEvent string) platform.ForwardHeaders {
+	return platform.ForwardHeaders{
+		Timeout: r.Left(time.Now()), Endpoint: e.ID, Account: r.account(), Priority: r.Priority(), LastEvent: lastEvent,
 	}
 }
--- a/gateway/stop_expected_test.go
+++ b/gateway/stop_expected_test.go
@@ -13,17 +13,18 @@
 	"redwinghall/platform/platformtest"
 )
 
-// A service answers look-ups at once and bookings in two seconds. A node that
-// has 1.5 s left takes a booking, and cuts it at its end: the caller must not
-// repeat it and doesn't know whether it ran. Cause: how long a call may take is
-// expected from the mean of all calls to its endpoint, and look-ups are most of them.
-func TestStoppingGatewayExpectsACallByItsRoute(t *testing.T) {
+// A service answers look-ups at once and bookings in two seconds. A node with 1.5 s
+// left must refuse a booking: it would cut it off when it exits, and the caller must
+// not repeat it and doesn't know whether it was executed. This happens if the
+// duration of a call is predicted from the mean of all calls to its endpoint, most of
+// which are look-ups.
+func TestStoppingGatewayPredictsDurationByRoute(t *testing.T) {
 	t.Parallel()
-	s := newSite(t)
+	s := newFixture(t)
 	const bookingTime = 2 * time.Second
 	var late atomic.Int32
 	s.endpoint("desk-1", "desk", func(w http.ResponseWriter, r *http.Request) {
-		if platformtest.Read(r).ID == "late" {
+		if platformtest.ReadHeaders(r).ID == "late" {
 			late.Add(1)
 		}
 		if r.URL.Path == "/book/x" {
@@ -31,9 +32,9 @@
 		}
 		sign(w, r)
 	})
-	ask := func(path, id string) answer {
-		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), path, nil, platformtest.Ask{
-			ID: id, Key: "key-1", Patience: 3 * time.Second,
+	ask := func(path, id string) response {
+		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), path, nil, platformtest.RequestInfo{
+			ID: id, Key: "key-1", Timeout: 3 * time.Second,
 		})
 		require.NoError(t, err)
 		return s.do(r)
--- a/measure/snapshot.go
+++ b/measure/snapshot.go
@@ -50,12 +50,12 @@
 
 // selector returns a router's group selector over these registers, with every
 // group healthy, and the store that contains them.
-func (w registerCounts) selector(now time.Time) (*route.Board, *peer.Store) {
+func (w registerCounts) selector(now time.Time) (*route.Selector, *peer.Store) {
 	store := w.store()
-	b := route.NewBoard(route.BoardConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
+	b := route.NewSelector(route.SelectorConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
 		Ramp: ramp.SingleOwner{}, Picker: route.TwoChoices{}})
 	b.Rebuild(store)
-	book := peer.NewHealthBook()
+	book := peer.NewHealthCache()
 	for i := range w.groups {
 		book.Merge(redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Completed: 10})
 	}
@@ -116,7 +116,7 @@
 			}
 		})
 		decision = append(decision, Point{float64(n), float64(r.NsPerOp())})
-		book := peer.NewHealthBook()
+		book := peer.NewHealthCache()
 		for i := range n {
 			book.Merge(redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Completed: 10})
 		}
--- a/node/permit.go
+++ b/node/permit.go
@@ -15,9 +15,9 @@
 // permitIssuer obtains permits for requests to endpoints that announced a rate limit.
 type permitIssuer struct{ node *Node }
 
-var _ gateway.Lender = permitIssuer{}
+var _ gateway.PermitIssuer = permitIssuer{}
 
-// Permit implements gateway.Lender. Permits are issued by the first responsive node in
+// Permit implements gateway.PermitIssuer. Permits are issued by the first responsive node in
 // the rank order of the endpoint's zone. A node that can't reach it sends no request
 // to the endpoint.
 func (i permitIssuer) Permit(ctx context.Context, e *fleet.Endpoint, known balance.LimitReport) (balance.Permit, bool) {
--- a/node/placement.go
+++ b/node/placement.go
@@ -28,8 +28,8 @@
 	return &zonePlacer{node: n, pausedUntil: map[string]time.Time{}}
 }
 
-// Dispatched implements gateway.Placer.
-func (p *zonePlacer) Dispatched(now time.Time) bool {
+// HasDispatcher implements gateway.Placer.
+func (p *zonePlacer) HasDispatcher(now time.Time) bool {
 	own := p.node.settings
 	one, ok := p.node.dispatcher(now, own.Zone)
 	return ok && one.Name != own.Node
--- a/rwhtest/deployment.go
+++ b/rwhtest/deployment.go
@@ -150,13 +150,13 @@
 }
 
 func (d *Deployment) serving(r *daemon.Router, version string) bool {
-	view := r.Board.View()
+	view := r.Selector.View()
 	model, ok := view.Models[Model]
 	if !ok || model.Model.Version != version || len(view.Services[Service].Endpoints) == 0 {
 		return false
 	}
 	usable := 0
-	for _, s := range model.Slots {
+	for _, s := range model.Backends {
 		if s.Usable(time.Now(), d.options.AliveBound) && (s.Limit() > 0 || s.Owner() != "") && s.Group().Version == version {
 			usable++
 		}
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -26,10 +26,10 @@
 	e, perSecond := w.pickEndpoint(), float64(1+w.pick(highestLimit))
 	w.note("%s names a limit of %g a second for %s", e.config.ID, perSecond, limitLasts+lasts)
 	named := time.Now()
-	e.endpoint.NameLimit(perSecond)
+	e.endpoint.SetRateLimit(perSecond)
 	kernel.Sleep(ctx, limitLasts+lasts)
 	w.judgeLimit(e, perSecond, named)
-	e.endpoint.EndLimit()
+	e.endpoint.ClearRateLimit()
 	return nil
 }
 
@@ -42,7 +42,7 @@
 	if w.disturbed.After(from) {
 		from = w.disturbed
 	}
-	most := platformtest.MostIn(e.endpoint.Arrived(), limitWindow, from.Add(limitContact))
+	most := platformtest.MaxInWindow(e.endpoint.ArrivalTimes(), limitWindow, from.Add(limitContact))
 	if allowed := limitOvershoot*perSecond*limitWindow.Seconds() + limitSlack; float64(most) > allowed {
 		w.mistakes = append(w.mistakes, fmt.Sprintf("%s named a limit of %g a second and got %d requests in %s", e.config.ID, perSecond, most, limitWindow))
 	}
--- a/soak/world.go
+++ b/soak/world.go
@@ -75,7 +75,7 @@
 	random *rand.Rand
 	group  *kernel.Group
 	store  *platformtest.Store
-	ledger *platformtest.Ledger
+	ledger *platformtest.RunCounter
 	set    *process.Set
 
 	mu        sync.Mutex
@@ -103,7 +103,7 @@
 func newWorld(config Config) (*world, error) {
 	w := &world{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, 7)), group: kernel.NewGroup(context.Background()),
-		store: platformtest.NewStore(), ledger: platformtest.NewLedger(), set: process.NewSet(config.Bin, config.Dir), version: 1,
+		store: platformtest.NewStore(), ledger: platformtest.NewRunCounter(), set: process.NewSet(config.Bin, config.Dir), version: 1,
 	}
 	if err := w.store.Put("op", "config", platformtest.Configuration(1, stableKey, withdrawnKey)); err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 	if service == "llm" {
 		live.config.Domain = "domain-" + zone
 	}
-	live.config.Front = func(address string) (string, error) {
+	live.config.RegisterAs = func(address string) (string, error) {
 		l, err := link.New(w.group, net.JoinHostPort(linkHost, "0"), address)
 		live.link = l
 		if err != nil {
@@ -179,7 +179,7 @@
 	host := fmt.Sprintf("%s%d", w.config.Host, i+1)
 	n := &nodeProcess{toStore: toStore, path: filepath.Join(w.config.Dir, fmt.Sprintf("node-%d.conf", i)), settings: platformtest.NodeSettings{
 		Node: fmt.Sprintf("node-%d", i), Zone: zones[i%len(zones)], Zones: zones, IP: host,
-		Callers: net.JoinHostPort(host, "8300"), Readiness: net.JoinHostPort(host, "8301"), Internal: 8310, Store: toStore.Address(),
+		CallerAddress: net.JoinHostPort(host, "8300"), ReadinessAddress: net.JoinHostPort(host, "8301"), FirstInternalPort: 8310, StoreAddress: toStore.Address(),
 	}}
 	if err := os.WriteFile(n.path, []byte(n.settings.Text()), 0o600); err != nil {
 		return err
