--- a/measure/request.go
+++ b/measure/request.go
@@ -67,7 +67,7 @@
 // through the router and directly.
 func medians(c load.Config, leader string) (through, direct float64, err error) {
 	client := load.NewClient()
-	ask := func(address string, i int) (time.Duration, error) {
+	send := func(address string, i int) (time.Duration, error) {
 		body, _ := load.Body(c, i)
 		request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions", bytes.NewReader(body))
 		if err != nil {
@@ -88,7 +88,7 @@
 	g.Go("ask", func(context.Context) error {
 		for i := range 300 {
 			for side, address := range []string{c.Routers[0], leader} {
-				took, err := ask(address, i)
+				took, err := send(address, i)
 				if err != nil {
 					return err
 				}
--- a/measure/snapshot.go
+++ b/measure/snapshot.go
@@ -20,20 +20,20 @@
 	groups, models, accounts int
 }
 
-func (w registerCounts) store() *peer.Store {
+func (c registerCounts) store() *peer.Store {
 	store := peer.NewStore()
 	manifest := redwinghall.Manifest{Name: "measure"}
-	for i := range w.accounts {
+	for i := range c.accounts {
 		sum := sha256.Sum256([]byte(fmt.Sprint("key", i)))
 		manifest.ClientAccounts = append(manifest.ClientAccounts,
 			redwinghall.ClientAccount{ID: fmt.Sprintf("account-%d", i), KeySHA256: []string{hex.EncodeToString(sum[:])}})
 	}
-	for i := range w.models {
+	for i := range c.models {
 		manifest.Models = append(manifest.Models, redwinghall.Model{ID: fmt.Sprintf("model-%d", i), Version: "v1", VMsPerReplica: 4})
 	}
 	put(store, peer.KeyManifest, redwinghall.Accepted{Generation: 1, Manifest: manifest.WithDefaults()})
-	for i := range w.groups {
-		g := redwinghall.Group{ID: groupID(i), AvailabilityZone: "zone-a", Model: fmt.Sprintf("model-%d", i%w.models),
+	for i := range c.groups {
+		g := redwinghall.Group{ID: groupID(i), AvailabilityZone: "zone-a", Model: fmt.Sprintf("model-%d", i%c.models),
 			Generation: 1, Members: make([]redwinghall.Member, 4), MaxInFlight: 1 << 30, ColdInFlight: 1, WarmAfter: 1}
 		put(store, peer.KeyGroup("zone-a", g.ID), g)
 	}
@@ -50,16 +50,16 @@
 
 // selector returns a router's group selector over these registers, with every
 // group healthy, and the store that contains them.
-func (w registerCounts) selector(now time.Time) (*route.Selector, *peer.Store) {
-	store := w.store()
+func (c registerCounts) selector(now time.Time) (*route.Selector, *peer.Store) {
+	store := c.store()
 	b := route.NewSelector(route.SelectorConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
 		Ramp: ramp.SingleOwner{}, Picker: route.TwoChoices{}})
 	b.Rebuild(store)
-	book := peer.NewHealthCache()
-	for i := range w.groups {
-		book.Merge(redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Completed: 10})
+	health := peer.NewHealthCache()
+	for i := range c.groups {
+		health.Merge(redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Completed: 10})
 	}
-	b.Refresh(now, book, []peer.Member{{ID: "router-1"}})
+	b.Refresh(now, health, []peer.Member{{ID: "router-1"}})
 	return b, store
 }
 
@@ -116,9 +116,9 @@
 			}
 		})
 		decision = append(decision, Point{float64(n), float64(r.NsPerOp())})
-		book := peer.NewHealthCache()
+		health := peer.NewHealthCache()
 		for i := range n {
-			book.Merge(redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Completed: 10})
+			health.Merge(redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Completed: 10})
 		}
 		members := make([]peer.Member, targetNodes)
 		for i := range members {
@@ -126,7 +126,7 @@
 		}
 		r = testing.Benchmark(func(tb *testing.B) {
 			for range tb.N {
-				b.Refresh(now, book, members)
+				b.Refresh(now, health, members)
 			}
 		})
 		refresh = append(refresh, Point{float64(n), float64(r.NsPerOp()) / 1e3})
