--- a/cmd/standin/process_test.go
+++ b/cmd/standin/process_test.go
@@ -181,7 +181,7 @@
 	return reply{status: response.StatusCode, code: refusal.Error.Code}, err
 }
 
-// postControl sends a stand-in's postControl.
+// postControl calls the control API of a stand-in.
 func (d *deployment) postControl(address, path string, body any) {
 	d.t.Helper()
 	data, err := json.Marshal(body)
