--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -75,19 +75,19 @@
 func TestGroupRefusesWhatWouldBeLate(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{head("only", "a", "large")}
-	taken := 0
+	accepted := 0
 	var refusal *balance.Refusal
 	for refusal == nil {
 		var choice balance.Choice
 		choice, refusal = tracker.ChooseGroup(start, all, nil, newRequest())
 		if refusal == nil {
-			taken++
+			accepted++
 			require.LessOrEqual(t, choice.Predicted, 440*time.Millisecond)
 		}
 	}
 	require.Equal(t, balance.Overloaded, refusal.Reason)
-	require.Greater(t, taken, 5)
-	require.Less(t, taken, 26)
+	require.Greater(t, accepted, 5)
+	require.Less(t, accepted, 26)
 	require.GreaterOrEqual(t, refusal.RetryAfter, 300*time.Millisecond)
 }
 
@@ -121,14 +121,14 @@
 			for i := range nodes {
 				tracker := balance.NewTracker()
 				for ms := range 2000 {
-					a := newRequest()
-					a.Service.ColdPerSecond, a.Objective, a.Node = 36, time.Hour, strconv.Itoa(i)
-					a.ColdRateOwnZone, a.ColdRateOtherZones = 0.75*0.75*perSecond/float64(zone), 0.75*0.25*perSecond/float64(nodes-zone)
+					request := newRequest()
+					request.Service.ColdPerSecond, request.Objective, request.Node = 36, time.Hour, strconv.Itoa(i)
+					request.ColdRateOwnZone, request.ColdRateOtherZones = 0.75*0.75*perSecond/float64(zone), 0.75*0.25*perSecond/float64(nodes-zone)
 					if i >= zone {
-						a.Zone = "b"
+						request.Zone = "b"
 					}
 					at := time.Duration(ms) * time.Millisecond
-					if choice, refusal := tracker.ChooseGroup(start.Add(at), []*fleet.Endpoint{cold}, nil, a); refusal == nil {
+					if choice, refusal := tracker.ChooseGroup(start.Add(at), []*fleet.Endpoint{cold}, nil, request); refusal == nil {
 						sentAt = append(sentAt, at)
 						choice.Attempt.Done(start.Add(at), true)
 					}
@@ -154,9 +154,9 @@
 }
 
 // Guards against all nodes sending to a group that has just opened as much as it
-// could handle from one node, before they learn of each other's load: 16 prompts
-// came within 100 ms, and all were late. So a node assumes that the others
-// meanwhile sent as much as it did.
+// could handle from one node, before they have shared their loads: 16 prompts came
+// within 100 ms, and all were late. So a node assumes that the others meanwhile sent
+// as much as it did.
 func TestNodesDoNotRushToOneGroup(t *testing.T) {
 	const nodes = 6
 	opened := head("opened", "b", "large")
@@ -164,9 +164,9 @@
 	for range nodes {
 		tracker := balance.NewTracker()
 		for range 8 {
-			a := newRequest()
-			a.Nodes, a.ZoneNodes = nodes, 2
-			if _, refusal := tracker.ChooseGroup(start, []*fleet.Endpoint{opened}, nil, a); refusal == nil {
+			request := newRequest()
+			request.Nodes, request.ZoneNodes = nodes, 2
+			if _, refusal := tracker.ChooseGroup(start, []*fleet.Endpoint{opened}, nil, request); refusal == nil {
 				prompts++
 			}
 		}
@@ -222,11 +222,11 @@
 		return &fleet.Endpoint{ID: id, Service: "desk", Zone: zone, State: fleet.EndpointReady, Slots: 6}
 	}
 	all := []*fleet.Endpoint{plain("bad", "a"), plain("good", "b")}
-	a := balance.Request{Service: fleet.Service{Name: "desk"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
+	request := balance.Request{Service: fleet.Service{Name: "desk"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
 	counts := map[string]int{}
 	now := start
 	for range 100 {
-		choice, refusal := tracker.ChoosePlain(now, all, nil, a)
+		choice, refusal := tracker.ChoosePlain(now, all, nil, request)
 		require.Nil(t, refusal)
 		counts[choice.Endpoint.ID]++
 		now = now.Add(60 * time.Millisecond)
@@ -236,14 +236,14 @@
 }
 
 // Long streams of a plain service last longer than the objective for the first
-// event. The service must not be taken for overloaded because of that.
+// event. The service must not count as overloaded because of that.
 func TestLongStreamsOfAPlainServiceAreNoOverload(t *testing.T) {
 	tracker := balance.NewTracker()
 	all := []*fleet.Endpoint{{ID: "feed", Service: "feed", Zone: "a", State: fleet.EndpointReady, Slots: 6}}
-	a := balance.Request{Service: fleet.Service{Name: "feed"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
+	request := balance.Request{Service: fleet.Service{Name: "feed"}, Zone: "a", Objective: 300 * time.Millisecond, Nodes: 1, ZoneNodes: 1}
 	now := start
 	for range 50 {
-		choice, refusal := tracker.ChoosePlain(now, all, nil, a)
+		choice, refusal := tracker.ChoosePlain(now, all, nil, request)
 		require.Nil(t, refusal)
 		choice.Attempt.RecordEvent(now.Add(50*time.Millisecond), nil)
 		now = now.Add(5 * time.Second)
@@ -273,9 +273,9 @@
 }
 
 // BenchmarkGroup measures one choice among the heads of one model. 70 endpoints have
-// about 6 groups of each of two models, 330 have 30. Searching all endpoints instead
-// of the heads took 4.8 us for 72 and 19.9 us for 360. Allocating each candidate
-// took 32 allocations and twice the time at 30 groups; now there are 3 allocations.
+// about 6 groups of each of two models, 330 have 30. A choice makes 3 allocations.
+// Searching all endpoints instead of the heads took 4.8 us for 72 and 19.9 us for
+// 360. Allocating each candidate took 32 allocations and twice the time at 30 groups.
 func BenchmarkGroup(b *testing.B) {
 	one := newRequest()
 	for _, groups := range []int{6, 30} {
@@ -313,11 +313,11 @@
 		require.Nil(t, refusal)
 		return choice.Expected
 	}
-	short := expected(false, func(a *balance.Request) { a.Answer = 60 })
-	long := expected(false, func(a *balance.Request) { a.Answer = 600 })
+	short := expected(false, func(request *balance.Request) { request.Answer = 60 })
+	long := expected(false, func(request *balance.Request) { request.Answer = 600 })
 	require.Greater(t, short, 10*newRequest().Service.Engine.Step*6)
 	require.Greater(t, long, 9*short/2)
-	require.Greater(t, expected(true, func(a *balance.Request) { a.Answer = 600 }), 2*long)
+	require.Greater(t, expected(true, func(request *balance.Request) { request.Answer = 600 }), 2*long)
 	require.Zero(t, expected(false, func(*balance.Request) {}), "the number of tokens is unknown")
 
 	desk := &fleet.Endpoint{ID: "desk", Service: "desk", Zone: "a", State: fleet.EndpointReady, Slots: 4}
@@ -332,9 +332,9 @@
 	t.Helper()
 	choice, refusal := tracker.ChooseGroup(start, heads, nil, newRequest())
 	require.Nil(t, refusal)
-	usual := func(int) time.Duration { return 40 * time.Millisecond }
+	predictedPause := func(int) time.Duration { return 40 * time.Millisecond }
 	for i := range 400 {
-		choice.Attempt.RecordEvent(start.Add(time.Duration(i)*120*time.Millisecond), usual)
+		choice.Attempt.RecordEvent(start.Add(time.Duration(i)*120*time.Millisecond), predictedPause)
 	}
 	choice.Attempt.Done(start.Add(50*time.Second), true)
 }
