--- a/measure/place.go
+++ b/measure/place.go
@@ -15,7 +15,7 @@
 type firstFit struct{}
 
 // Place implements place.Placer.
-func (firstFit) Place(free redwinghall.VMs, wants []place.Demand) []place.Placement {
+func (firstFit) Place(free redwinghall.VMs, demands []place.Demand) []place.Placement {
 	domains := map[string]redwinghall.VMs{}
 	var names []string
 	for _, vm := range free {
@@ -26,13 +26,13 @@
 	}
 	sort.Strings(names)
 	var out []place.Placement
-	for _, w := range wants {
-		for range w.Count {
+	for _, d := range demands {
+		for range d.Count {
 			for _, name := range names {
 				vms := domains[name]
-				if len(vms) >= w.Model.VMsPerReplica {
-					domains[name] = vms[w.Model.VMsPerReplica:]
-					out = append(out, place.Placement{Model: w.Model, Domain: name, VMs: vms[:w.Model.VMsPerReplica]})
+				if len(vms) >= d.Model.VMsPerReplica {
+					domains[name] = vms[d.Model.VMsPerReplica:]
+					out = append(out, place.Placement{Model: d.Model, Domain: name, VMs: vms[:d.Model.VMsPerReplica]})
 					break
 				}
 			}
@@ -68,16 +68,16 @@
 }
 
 func measurePlace(options) ([]Series, error) {
-	var whole, one []Point
+	var all, one []Point
 	for _, n := range []int{80, 325, 650, 1300} {
 		vms := cluster(rand.New(rand.NewPCG(1, uint64(n))), n)
-		wants := demandOf(n)
-		whole = append(whole, Point{float64(n), fastest(func() { place.BestFit{}.Place(vms, wants) })})
-		single := []place.Demand{{Model: wants[2].Model, Count: 1}}
+		demands := demandOf(n)
+		all = append(all, Point{float64(n), fastest(func() { place.BestFit{}.Place(vms, demands) })})
+		single := []place.Demand{{Model: demands[2].Model, Count: 1}}
 		one = append(one, Point{float64(n), fastest(func() { place.BestFit{}.Place(vms, single) })})
 	}
 	out := []Series{
-		newSeries("all groups from nothing", "VMs", "milliseconds to place", whole),
+		newSeries("all groups from nothing", "VMs", "milliseconds to place", all),
 		newSeries("one group among all VMs free", "VMs", "milliseconds to place", one),
 	}
 	for _, p := range []struct {
@@ -119,14 +119,14 @@
 					left = append(left, vm)
 				}
 			}
-			wants := demandOf(n)
+			demands := demandOf(n)
 			used, wanted := 0, 0
-			placements := p.Place(left, wants)
+			placements := p.Place(left, demands)
 			for _, one := range placements {
 				used += len(one.VMs)
 			}
-			for _, w := range wants {
-				wanted += w.Count
+			for _, d := range demands {
+				wanted += d.Count
 			}
 			sumStranded += float64(len(left) - used)
 			sumMissing += float64(wanted - len(placements))
