--- a/caller/once_test.go
+++ b/caller/once_test.go
@@ -164,7 +164,7 @@
 	d := twoZones(t)
 	began := make(chan string, 10)
 	for _, s := range d.Services {
-		s.Began = began
+		s.Arrivals = began
 		s.SetFaults(service.Faults{Delay: redwinghall.Duration(200 * time.Millisecond)})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -252,7 +252,7 @@
 	require.Zero(t, d.Runs("storm-1"))
 
 	answer := d.Load(4, 2, 8, 0, 1)
-	require.Equal(t, 4, answer.Whole, "chat completions work without the table")
+	require.Equal(t, 4, answer.Correct, "chat completions work without the table")
 
 	d.Table.SetFaults(table.Faults{})
 	d.Eventually("the deposit runs", func() bool {
--- a/caller/stream_test.go
+++ b/caller/stream_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	result := d.Load(1200, 32, 24, 0, 1)
-	require.Equal(t, 1200, result.Whole, result.String())
+	require.Equal(t, 1200, result.Correct, result.String())
 }
 
 // The engine sends some chunks and then nothing, with the connection open. Without a
@@ -58,7 +58,7 @@
 		}
 	}
 	result := d.Load(20, 4, 24, 0, 1)
-	require.Equal(t, 20, result.Whole, result.String())
+	require.Equal(t, 20, result.Correct, result.String())
 }
 
 // All open connections to the endpoints become silent forever while new ones work, as
@@ -84,13 +84,13 @@
 	d.Table.SetVMs(vms)
 	d.Submit("v1")
 	before := d.Load(20, 4, 8, 0)
-	require.Equal(t, 20, before.Whole, before.String())
+	require.Equal(t, 20, before.Correct, before.String())
 	for _, l := range links {
-		l.Set(link.Swallow, 0)
+		l.Set(link.Blackhole, 0)
 		l.Set(link.Pass, 0)
 	}
 	result := d.Load(20, 4, 8, 0)
-	require.Equal(t, 20, result.Whole, result.String())
+	require.Equal(t, 20, result.Correct, result.String())
 }
 
 // Callers that send equal requests at the same time must each receive a complete
