--- a/measure/request.go
+++ b/measure/request.go
@@ -17,35 +17,35 @@
 
 const requestWorkers = 8
 
-// measureRequest sends streams of several lengths through one router process
-// and takes the router's own processor time, and the times of a caller beside
-// a direct call to the engine stand-in in the same run.
+// measureRequest sends streams of several lengths through one router process. It
+// measures the router's CPU time, and the latency through the router and of direct
+// calls to the engine stand-in in the same run.
 func measureRequest(o options) ([]Series, error) {
 	d, err := startServing(o.Bin, shape{zones: 1, nodesPerZone: 1, groupsPerZone: 1, engine: engine.Config{}}, unchanged)
 	if err != nil {
 		return nil, err
 	}
 	defer d.stop()
-	status, err := d.operator(0).Status(context.Background())
+	status, err := d.operatorClient(0).Status(context.Background())
 	if err != nil {
 		return nil, err
 	}
 	leader := status.Groups[0].Leader().Address
 	var cpu, through, direct []Point
 	for _, tokens := range []int{1, 16, 64, 256} {
-		c := load.Config{Routers: []string{d.layout.Caller(0)}, Key: layout.DemoKey(measureAccount), Model: d.layout.Model,
+		c := load.Config{Routers: []string{d.layout.CallerAddress(0)}, Key: layout.DemoKey(measureAccount), Model: d.layout.Model,
 			Requests: max(600, 6000/tokens), Workers: requestWorkers, Tokens: tokens, Timeout: waitLimit}
 		load.Run(context.Background(), c) // warm up
-		before, err := cpuOf(d.routers[0].PID())
+		before, err := processCPU(d.routers[0].PID())
 		if err != nil {
 			return nil, err
 		}
 		result := load.Run(context.Background(), c)
-		after, err := cpuOf(d.routers[0].PID())
+		after, err := processCPU(d.routers[0].PID())
 		if err != nil {
 			return nil, err
 		}
-		if result.Whole != result.Sent {
+		if result.Correct != result.Sent {
 			return nil, errors.New(result.String())
 		}
 		x := float64(tokens)
@@ -63,11 +63,11 @@
 	}, nil
 }
 
-// medians returns the median time of a whole answer, one request at a time,
+// medians returns the median time of a complete response, one request at a time,
 // through the router and directly.
 func medians(c load.Config, leader string) (through, direct float64, err error) {
 	client := load.NewClient()
-	ask := func(address string, i int) (time.Duration, error) {
+	send := func(address string, i int) (time.Duration, error) {
 		body, _ := load.Body(c, i)
 		request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions", bytes.NewReader(body))
 		if err != nil {
@@ -88,7 +88,7 @@
 	g.Go("ask", func(context.Context) error {
 		for i := range 300 {
 			for side, address := range []string{c.Routers[0], leader} {
-				took, err := ask(address, i)
+				took, err := send(address, i)
 				if err != nil {
 					return err
 				}
--- a/soak/run.go
+++ b/soak/run.go
@@ -53,7 +53,7 @@
 	if err := runPlan(ctx, &report); err != nil {
 		return report, err
 	}
-	if err := d.processes.Failed(); err != nil {
+	if err := d.processes.UnexpectedExit(); err != nil {
 		report.Violations = append(report.Violations, err.Error())
 	}
 	report.Faults = d.faults
