--- a/caller/chat.go
+++ b/caller/chat.go
@@ -84,7 +84,7 @@
 
 // acquireBackend waits for capacity in a group of the model. It returns an error at
 // once if no group is usable.
-func (s *Server) acquireBackend(ctx context.Context, r *request, model *route.ModelView, prefix uint64) (*route.Backend, error) {
+func (s *Server) acquireBackend(ctx context.Context, r *request, model *route.ModelView, prefix uint64) (*route.TrackedGroup, error) {
 	now := time.Now()
 	if s.selector.CountUsable(model.Model.ID, now) == 0 {
 		return nil, redwinghall.NewOpError("Server.acquireBackend", redwinghall.CodeNoCapacity, nil)
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -51,7 +51,7 @@
 	sink     sink
 	sequence *sequence
 
-	failedBackend *route.Backend
+	failedBackend *route.TrackedGroup
 	failedRouters map[string]bool // addresses of routers that failed this request
 }
 
@@ -66,7 +66,7 @@
 // target is the destination of one attempt.
 type target struct {
 	address string
-	backend *route.Backend // nil if the target is another router
+	backend *route.TrackedGroup // nil if the target is another router
 }
 
 // run makes attempts until the response is complete, the deadline passes, the retry
@@ -177,7 +177,7 @@
 	return target{address: backend.Group().Leader().Address, backend: backend}, nil
 }
 
-func (l *relay) chooseBackend(ctx context.Context, prefix uint64, attempt int) (*route.Backend, error) {
+func (l *relay) chooseBackend(ctx context.Context, prefix uint64, attempt int) (*route.TrackedGroup, error) {
 	if attempt > 0 {
 		if backend := l.server.selector.PickOther(l.model.Model.ID, time.Now(), l.failedBackend); backend != nil {
 			return backend, nil
--- a/route/rebuild.go
+++ b/route/rebuild.go
@@ -68,7 +68,7 @@
 }
 
 // backend returns the backend of a group, creating it if it is new.
-func (s *Selector) backend(g redwinghall.Group) *Backend {
+func (s *Selector) backend(g redwinghall.Group) *TrackedGroup {
 	b, ok := s.backends[g.ID]
 	if !ok {
 		b = NewBackend(g)
--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,5 @@
 // Package route chooses the group that serves a request. A choice takes no
-// locks: each group is a Backend with atomic counters, reached through an
+// locks: each group is a TrackedGroup with atomic counters, reached through an
 // immutable View.
 package route
 
@@ -13,9 +13,9 @@
 	"redwinghall/kernel"
 )
 
-// Backend is one group and what this router knows and counts of it. It outlives
+// TrackedGroup is one group and what this router knows and counts of it. It outlives
 // views, so that requests in progress stay counted.
-type Backend struct {
+type TrackedGroup struct {
 	group    atomic.Pointer[redwinghall.Group]
 	health   atomic.Pointer[redwinghall.GroupHealth]
 	limit    atomic.Int32
@@ -34,23 +34,23 @@
 
 // NewBackend returns a backend for the group. It accepts no requests until its
 // health and a limit are set.
-func NewBackend(g redwinghall.Group) *Backend {
-	b := &Backend{}
+func NewBackend(g redwinghall.Group) *TrackedGroup {
+	b := &TrackedGroup{}
 	b.group.Store(&g)
 	return b
 }
 
 // Group returns the record of the group.
-func (b *Backend) Group() redwinghall.Group { return *b.group.Load() }
+func (b *TrackedGroup) Group() redwinghall.Group { return *b.group.Load() }
 
 // SetGroup replaces the group's record.
-func (b *Backend) SetGroup(g redwinghall.Group) { b.group.Store(&g) }
+func (b *TrackedGroup) SetGroup(g redwinghall.Group) { b.group.Store(&g) }
 
 // SetHealth replaces the observed health of the group's members.
-func (b *Backend) SetHealth(h redwinghall.GroupHealth) { b.health.Store(&h) }
+func (b *TrackedGroup) SetHealth(h redwinghall.GroupHealth) { b.health.Store(&h) }
 
 // Health returns the observed health of the group's members.
-func (b *Backend) Health() redwinghall.GroupHealth {
+func (b *TrackedGroup) Health() redwinghall.GroupHealth {
 	if h := b.health.Load(); h != nil {
 		return *h
 	}
@@ -59,7 +59,7 @@
 
 // SetLimit limits the number of requests in flight from this router to the
 // group. The limit expires at until; with a zero until it does not expire.
-func (b *Backend) SetLimit(n int, until time.Time) {
+func (b *TrackedGroup) SetLimit(n int, until time.Time) {
 	end := int64(math.MaxInt64)
 	if !until.IsZero() {
 		end = until.UnixNano()
@@ -69,15 +69,15 @@
 }
 
 // Limit returns how many requests from this router may be in flight.
-func (b *Backend) Limit() int { return int(b.limit.Load()) }
+func (b *TrackedGroup) Limit() int { return int(b.limit.Load()) }
 
 // SetOwner sets the caller address of the router that sends to the group while
 // it is cold; empty when this router may send to it.
-func (b *Backend) SetOwner(callerAddress string) { b.owner.Store(&callerAddress) }
+func (b *TrackedGroup) SetOwner(callerAddress string) { b.owner.Store(&callerAddress) }
 
 // Owner returns the caller address of the router that sends to the group while
 // it is cold, or "".
-func (b *Backend) Owner() string {
+func (b *TrackedGroup) Owner() string {
 	if p := b.owner.Load(); p != nil {
 		return *p
 	}
@@ -85,15 +85,15 @@
 }
 
 // InFlight returns the number of requests in flight from this router.
-func (b *Backend) InFlight() int { return int(b.inFlight.Load()) }
+func (b *TrackedGroup) InFlight() int { return int(b.inFlight.Load()) }
 
 // Avoid makes pickers choose the backend only as a last resort until the given
 // time.
-func (b *Backend) Avoid(until time.Time) { b.avoidUntil.Store(until.UnixNano()) }
+func (b *TrackedGroup) Avoid(until time.Time) { b.avoidUntil.Store(until.UnixNano()) }
 
 // Usable reports whether the group can take a new request at now. Every member
 // must have been seen within bound.
-func (b *Backend) Usable(now time.Time, bound time.Duration) bool {
+func (b *TrackedGroup) Usable(now time.Time, bound time.Duration) bool {
 	g := b.group.Load()
 	if g.Leaving {
 		return false
@@ -103,7 +103,7 @@
 }
 
 // TryAcquire acquires a slot unless the limit is reached.
-func (b *Backend) TryAcquire() bool {
+func (b *TrackedGroup) TryAcquire() bool {
 	for {
 		n := b.inFlight.Load()
 		if n >= b.limit.Load() {
@@ -116,18 +116,18 @@
 }
 
 // Release releases a slot.
-func (b *Backend) Release() { b.inFlight.Add(-1) }
+func (b *TrackedGroup) Release() { b.inFlight.Add(-1) }
 
 // tryAcquireFor acquires a slot for the query if the backend may serve it, and
 // reports whether it did.
-func (b *Backend) tryAcquireFor(q Query) bool {
+func (b *TrackedGroup) tryAcquireFor(q Query) bool {
 	return b != q.Exclude && q.Now.UnixNano() < b.validUntil.Load() && b.Usable(q.Now, q.Bound) && b.TryAcquire()
 }
 
-func (b *Backend) avoided(now time.Time) bool { return b.avoidUntil.Load() > now.UnixNano() }
+func (b *TrackedGroup) avoided(now time.Time) bool { return b.avoidUntil.Load() > now.UnixNano() }
 
 // load returns the used fraction of the limit.
-func (b *Backend) load() float64 {
+func (b *TrackedGroup) load() float64 {
 	limit := b.limit.Load()
 	if limit <= 0 {
 		return 1
@@ -142,13 +142,13 @@
 	// Prefix is a hash of the prompt prefix; zero means no preference.
 	Prefix uint64
 	// Exclude is a backend that has already failed this request.
-	Exclude *Backend
+	Exclude *TrackedGroup
 }
 
 // Picker chooses a backend and acquires a slot on it. It returns nil when no
 // backend has a free slot.
 type Picker interface {
-	Pick(q Query, backends []*Backend) *Backend
+	Pick(q Query, backends []*TrackedGroup) *TrackedGroup
 }
 
 // Pickers holds the available pickers by name.
@@ -171,7 +171,7 @@
 const prefixLoadTolerance = 0.25
 
 // Pick implements Picker.
-func (t TwoChoices) Pick(q Query, backends []*Backend) *Backend {
+func (t TwoChoices) Pick(q Query, backends []*TrackedGroup) *TrackedGroup {
 	if len(backends) == 0 {
 		return nil
 	}
@@ -183,7 +183,7 @@
 	if second.load()+bias < first.load() {
 		first, second = second, first
 	}
-	for _, b := range []*Backend{first, second} {
+	for _, b := range []*TrackedGroup{first, second} {
 		if t.tryPreferred(q, b) {
 			return b
 		}
@@ -191,13 +191,13 @@
 	return t.scan(q, backends)
 }
 
-func (TwoChoices) tryPreferred(q Query, b *Backend) bool {
+func (TwoChoices) tryPreferred(q Query, b *TrackedGroup) bool {
 	return !b.avoided(q.Now) && b.tryAcquireFor(q)
 }
 
 // scan is the fallback when both candidates are unusable or full. It tries
 // every backend from a random start, those to avoid last.
-func (t TwoChoices) scan(q Query, backends []*Backend) *Backend {
+func (t TwoChoices) scan(q Query, backends []*TrackedGroup) *TrackedGroup {
 	start := rand.IntN(len(backends))
 	for i := range backends {
 		b := backends[(start+i)%len(backends)]
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -16,8 +16,8 @@
 	bound = 2 * time.Second
 )
 
-func backends(n, limit int) []*route.Backend {
-	out := make([]*route.Backend, n)
+func backends(n, limit int) []*route.TrackedGroup {
+	out := make([]*route.TrackedGroup, n)
 	for i := range out {
 		id := fmt.Sprint("g", i)
 		out[i] = route.NewBackend(redwinghall.Group{ID: id, Generation: 1})
@@ -32,16 +32,16 @@
 func TestPickTakesOnlyUsableBackends(t *testing.T) {
 	tests := []struct {
 		name    string
-		disable func(*route.Backend)
+		disable func(*route.TrackedGroup)
 	}{
-		{"not seen within the bound", func(b *route.Backend) {
+		{"not seen within the bound", func(b *route.TrackedGroup) {
 			b.SetHealth(redwinghall.GroupHealth{Generation: 1, Ready: true, SeenAt: start.Add(-3 * time.Second)})
 		}},
-		{"newer generation", func(b *route.Backend) { b.SetGroup(b.Group().WithGeneration(2)) }},
-		{"leaving", func(b *route.Backend) { b.SetGroup(b.Group().WithLeaving()) }},
-		{"full", func(b *route.Backend) { b.SetLimit(0, time.Time{}) }},
-		{"grant ended", func(b *route.Backend) { b.SetLimit(1000, start) }},
-		{"avoided after a failure", func(b *route.Backend) { b.Avoid(start.Add(time.Second)) }},
+		{"newer generation", func(b *route.TrackedGroup) { b.SetGroup(b.Group().WithGeneration(2)) }},
+		{"leaving", func(b *route.TrackedGroup) { b.SetGroup(b.Group().WithLeaving()) }},
+		{"full", func(b *route.TrackedGroup) { b.SetLimit(0, time.Time{}) }},
+		{"grant ended", func(b *route.TrackedGroup) { b.SetLimit(1000, start) }},
+		{"avoided after a failure", func(b *route.TrackedGroup) { b.Avoid(start.Add(time.Second)) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/route/selector.go
+++ b/route/selector.go
@@ -22,9 +22,9 @@
 	view atomic.Pointer[View]
 
 	mu       sync.Mutex
-	backends map[string]*Backend
+	backends map[string]*TrackedGroup
 	grants   map[string]time.Time // by group: until when this router may send to it while it is cold
-	gates    map[string]*admit.Gate[*Backend]
+	gates    map[string]*admit.Gate[*TrackedGroup]
 }
 
 // SelectorConfig holds the identity of a router and how it chooses groups.
@@ -40,7 +40,7 @@
 func NewSelector(c SelectorConfig) *Selector {
 	s := &Selector{
 		zone: c.AvailabilityZone, self: c.Router, aliveBound: c.AliveBound, ramp: c.Ramp, picker: c.Picker,
-		backends: map[string]*Backend{}, grants: map[string]time.Time{}, gates: map[string]*admit.Gate[*Backend]{},
+		backends: map[string]*TrackedGroup{}, grants: map[string]time.Time{}, gates: map[string]*admit.Gate[*TrackedGroup]{},
 	}
 	s.view.Store(&View{})
 	return s
@@ -51,10 +51,10 @@
 
 // gate returns the model's admission gate. A gate outlives views because
 // requests wait in its queues.
-func (s *Selector) gate(model string) *admit.Gate[*Backend] {
+func (s *Selector) gate(model string) *admit.Gate[*TrackedGroup] {
 	g, ok := s.gates[model]
 	if !ok {
-		g = admit.NewGate(func() (*Backend, bool) {
+		g = admit.NewGate(func() (*TrackedGroup, bool) {
 			b := s.pick(model, Query{Now: time.Now(), Bound: s.aliveBound})
 			return b, b != nil
 		})
@@ -63,7 +63,7 @@
 	return g
 }
 
-func (s *Selector) pick(model string, q Query) *Backend {
+func (s *Selector) pick(model string, q Query) *TrackedGroup {
 	m, ok := s.View().Models[model]
 	if !ok {
 		return nil
@@ -72,29 +72,29 @@
 }
 
 // PickOther acquires a slot on another backend than the one that failed.
-func (s *Selector) PickOther(model string, now time.Time, failed *Backend) *Backend {
+func (s *Selector) PickOther(model string, now time.Time, failed *TrackedGroup) *TrackedGroup {
 	return s.pick(model, Query{Now: now, Bound: s.aliveBound, Exclude: failed})
 }
 
 // PickPrefix acquires a slot, preferably on the backend that probably served
 // the same prompt prefix before. prefix is a hash of it.
-func (s *Selector) PickPrefix(model string, now time.Time, prefix uint64) *Backend {
+func (s *Selector) PickPrefix(model string, now time.Time, prefix uint64) *TrackedGroup {
 	return s.pick(model, Query{Now: now, Bound: s.aliveBound, Prefix: prefix})
 }
 
 // CountUsable returns the number of groups of the model that may receive
 // requests from this router at now.
 func (s *Selector) CountUsable(model string, now time.Time) int {
-	return s.countBackends(model, func(b *Backend) bool { return b.Limit() > 0 && b.Usable(now, s.aliveBound) })
+	return s.countBackends(model, func(b *TrackedGroup) bool { return b.Limit() > 0 && b.Usable(now, s.aliveBound) })
 }
 
 // CountHealthy returns the number of groups of the model that can take
 // requests at now, including those that this router may not send to.
 func (s *Selector) CountHealthy(model string, now time.Time) int {
-	return s.countBackends(model, func(b *Backend) bool { return b.Usable(now, s.aliveBound) })
+	return s.countBackends(model, func(b *TrackedGroup) bool { return b.Usable(now, s.aliveBound) })
 }
 
-func (s *Selector) countBackends(model string, counts func(*Backend) bool) int {
+func (s *Selector) countBackends(model string, counts func(*TrackedGroup) bool) int {
 	m, ok := s.View().Models[model]
 	if !ok {
 		return 0
--- a/route/view.go
+++ b/route/view.go
@@ -20,8 +20,8 @@
 // ModelView is one model and its backends in a view.
 type ModelView struct {
 	Model    redwinghall.Model
-	Backends []*Backend
-	Gate     *admit.Gate[*Backend]
+	Backends []*TrackedGroup
+	Gate     *admit.Gate[*TrackedGroup]
 }
 
 // ServiceView is one plain service and its endpoints in a view.
