--- a/route/rebuild.go
+++ b/route/rebuild.go
@@ -71,7 +71,7 @@
 func (s *Selector) backend(g redwinghall.Group) *TrackedGroup {
 	b, ok := s.backends[g.ID]
 	if !ok {
-		b = NewBackend(g)
+		b = NewTrackedGroup(g)
 		s.backends[g.ID] = b
 	}
 	b.SetGroup(g)
--- a/route/route.go
+++ b/route/route.go
@@ -32,9 +32,9 @@
 	validUntil atomic.Int64
 }
 
-// NewBackend returns a backend for the group. It accepts no requests until its
+// NewTrackedGroup returns a backend for the group. It accepts no requests until its
 // health and a limit are set.
-func NewBackend(g redwinghall.Group) *TrackedGroup {
+func NewTrackedGroup(g redwinghall.Group) *TrackedGroup {
 	b := &TrackedGroup{}
 	b.group.Store(&g)
 	return b
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -20,7 +20,7 @@
 	out := make([]*route.TrackedGroup, n)
 	for i := range out {
 		id := fmt.Sprint("g", i)
-		out[i] = route.NewBackend(redwinghall.Group{ID: id, Generation: 1})
+		out[i] = route.NewTrackedGroup(redwinghall.Group{ID: id, Generation: 1})
 		out[i].SetHealth(redwinghall.GroupHealth{Group: id, Generation: 1, Ready: true, SeenAt: start})
 		out[i].SetLimit(limit, time.Time{})
 	}
