--- a/endpoint/manager_test.go
+++ b/endpoint/manager_test.go
@@ -83,7 +83,7 @@
 	d.Fleet.VM(before.Members[1].VM).Restart()
 	d.Eventually("the group is under a new generation and whole", func() bool {
 		g := onlyGroup(t, d)
-		s := d.Routers[0].Selector.View().Models[rwhtest.Model].Backends
+		s := d.Routers[0].Selector.View().Models[rwhtest.Model].Groups
 		return g.Generation > before.Generation && len(s) == 1 && s[0].Group().Generation == g.Generation &&
 			s[0].Usable(time.Now(), time.Minute)
 	})
--- a/route/owner.go
+++ b/route/owner.go
@@ -36,7 +36,7 @@
 		return ""
 	}
 	found := ""
-	for _, b := range m.Backends {
+	for _, b := range m.Groups {
 		if !b.Usable(now, s.aliveBound) {
 			continue
 		}
@@ -78,7 +78,7 @@
 func (s *Selector) OwnedColdGroups(routers []string) []string {
 	var out []string
 	for _, model := range s.View().Models {
-		for _, b := range model.Backends {
+		for _, b := range model.Groups {
 			g, h := b.Group(), b.Health()
 			if !g.Leaving && h.Generation == g.Generation && int(h.Completed) < g.WarmAfter && Owner(g.ID, routers) == s.self {
 				out = append(out, g.ID)
--- a/route/rebuild.go
+++ b/route/rebuild.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		used[g.ID] = true
-		model.Backends = append(model.Backends, s.backend(g))
+		model.Groups = append(model.Groups, s.backend(g))
 	}
 	for id := range s.backends {
 		if !used[id] {
--- a/route/selector.go
+++ b/route/selector.go
@@ -68,7 +68,7 @@
 	if !ok {
 		return nil
 	}
-	return s.picker.Pick(q, m.Backends)
+	return s.picker.Pick(q, m.Groups)
 }
 
 // PickOther acquires a slot on another backend than the one that failed.
@@ -100,7 +100,7 @@
 		return 0
 	}
 	n := 0
-	for _, b := range m.Backends {
+	for _, b := range m.Groups {
 		if counts(b) {
 			n++
 		}
@@ -119,7 +119,7 @@
 		addresses[r.ID] = r.CallerAddress
 	}
 	for _, model := range s.View().Models {
-		for _, b := range model.Backends {
+		for _, b := range model.Groups {
 			g := b.Group()
 			h, ok := health.Get(g.ID)
 			if !ok {
--- a/route/view.go
+++ b/route/view.go
@@ -17,10 +17,10 @@
 	Services []string `json:"services"`
 }
 
-// ModelView is one model and its backends in a view.
+// ModelView is one model and its groups in a view.
 type ModelView struct {
 	Model    redwinghall.Model
-	Backends []*TrackedGroup
+	Groups []*TrackedGroup
 	Gate     *admit.Gate[*TrackedGroup]
 }
 
--- a/rwhtest/deployment.go
+++ b/rwhtest/deployment.go
@@ -156,7 +156,7 @@
 		return false
 	}
 	usable := 0
-	for _, s := range model.Backends {
+	for _, s := range model.Groups {
 		if s.Usable(time.Now(), d.options.AliveBound) && (s.Limit() > 0 || s.Owner() != "") && s.Group().Version == version {
 			usable++
 		}
