--- a/caller/chat.go
+++ b/caller/chat.go
@@ -82,17 +82,17 @@
 // conversations have in common.
 func prefixOf(req chatRequest) uint64 { return xxhash.Sum64(req.Messages[0]) }
 
-// acquireBackend waits for capacity in a group of the model. It returns an error at
+// acquireGroup waits for capacity in a group of the model. It returns an error at
 // once if no group is usable.
-func (s *Server) acquireBackend(ctx context.Context, r *request, model *route.ModelView, prefix uint64) (*route.TrackedGroup, error) {
+func (s *Server) acquireGroup(ctx context.Context, r *request, model *route.ModelView, prefix uint64) (*route.TrackedGroup, error) {
 	now := time.Now()
 	if s.selector.CountUsable(model.Model.ID, now) == 0 {
-		return nil, redwinghall.NewOpError("Server.acquireBackend", redwinghall.CodeNoCapacity, nil)
+		return nil, redwinghall.NewOpError("Server.acquireGroup", redwinghall.CodeNoCapacity, nil)
 	}
 	defer func() { observe(r.series.queue, time.Since(now)) }()
 	if model.Gate.Waiting() == 0 {
-		if backend := s.selector.PickPrefix(model.Model.ID, now, prefix); backend != nil {
-			return backend, nil
+		if group := s.selector.PickPrefix(model.Model.ID, now, prefix); group != nil {
+			return group, nil
 		}
 	}
 	return model.Gate.Acquire(ctx, now, r.account)
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -51,7 +51,7 @@
 	sink     sink
 	sequence *sequence
 
-	failedBackend *route.TrackedGroup
+	failedGroup   *route.TrackedGroup
 	failedRouters map[string]bool // addresses of routers that failed this request
 }
 
@@ -66,7 +66,7 @@
 // target is the destination of one attempt.
 type target struct {
 	address string
-	backend *route.TrackedGroup // nil if the target is another router
+	group   *route.TrackedGroup // nil if the target is another router
 }
 
 // run makes attempts until the response is complete, the deadline passes, the retry
@@ -109,9 +109,9 @@
 }
 
 func (l *relay) recordFailure(where target) {
-	if where.backend != nil {
-		where.backend.Avoid(time.Now().Add(avoidTime))
-		l.failedBackend = where.backend
+	if where.group != nil {
+		where.group.Avoid(time.Now().Add(avoidTime))
+		l.failedGroup = where.group
 		return
 	}
 	if l.failedRouters == nil {
@@ -148,9 +148,9 @@
 		}
 	}
 	if !out {
-		backend, err := l.chooseBackend(ctx, prefix, attempt)
+		group, err := l.chooseGroup(ctx, prefix, attempt)
 		if err == nil {
-			return target{address: backend.Group().Leader().Address, backend: backend}, nil
+			return target{address: group.Group().Leader().Address, group: group}, nil
 		}
 		if codeOf(err) != redwinghall.CodeNoCapacity {
 			return target{}, err
@@ -170,20 +170,20 @@
 // waitForGrant waits for a group that is healthy but cold and to which no router may
 // send yet. Its owner requests a grant shortly.
 func (l *relay) waitForGrant(ctx context.Context) (target, error) {
-	backend, err := l.model.Gate.Acquire(ctx, time.Now(), l.request.account)
+	group, err := l.model.Gate.Acquire(ctx, time.Now(), l.request.account)
 	if err != nil {
 		return target{}, err
 	}
-	return target{address: backend.Group().Leader().Address, backend: backend}, nil
+	return target{address: group.Group().Leader().Address, group: group}, nil
 }
 
-func (l *relay) chooseBackend(ctx context.Context, prefix uint64, attempt int) (*route.TrackedGroup, error) {
+func (l *relay) chooseGroup(ctx context.Context, prefix uint64, attempt int) (*route.TrackedGroup, error) {
 	if attempt > 0 {
-		if backend := l.server.selector.PickOther(l.model.Model.ID, time.Now(), l.failedBackend); backend != nil {
-			return backend, nil
+		if group := l.server.selector.PickOther(l.model.Model.ID, time.Now(), l.failedGroup); group != nil {
+			return group, nil
 		}
 	}
-	return l.server.acquireBackend(ctx, l.request, l.model, prefix)
+	return l.server.acquireGroup(ctx, l.request, l.model, prefix)
 }
 
 // chooseGateway returns a router that has not been tried, of another zone that is in
@@ -207,9 +207,9 @@
 
 // attempt requests the rest of the response from one target.
 func (l *relay) attempt(ctx context.Context, where target) error {
-	if where.backend != nil {
+	if where.group != nil {
 		defer func() {
-			where.backend.Release()
+			where.group.Release()
 			l.model.Gate.Wake(time.Now())
 		}()
 	}
@@ -245,7 +245,7 @@
 	if l.sequence.next > 0 {
 		out.Header.Set(HeaderLastEvent, EventID(l.request.id, l.sequence.next-1))
 	}
-	if where.backend == nil {
+	if where.group == nil {
 		s := l.request
 		out.Header.Set("Authorization", s.http.Header.Get("Authorization"))
 		out.Header.Set(HeaderHops, strconv.Itoa(s.hops+1))
--- a/route/owner.go
+++ b/route/owner.go
@@ -36,14 +36,14 @@
 		return ""
 	}
 	found := ""
-	for _, b := range m.Groups {
-		if !b.Usable(now, s.aliveBound) {
+	for _, group := range m.Groups {
+		if !group.Usable(now, s.aliveBound) {
 			continue
 		}
-		if b.Limit() > 0 {
+		if group.Limit() > 0 {
 			return ""
 		}
-		if owner := b.Owner(); owner != "" && !tried[owner] {
+		if owner := group.Owner(); owner != "" && !tried[owner] {
 			found = owner
 		}
 	}
@@ -78,8 +78,8 @@
 func (s *Selector) OwnedColdGroups(routers []string) []string {
 	var out []string
 	for _, model := range s.View().Models {
-		for _, b := range model.Groups {
-			g, h := b.Group(), b.Health()
+		for _, group := range model.Groups {
+			g, h := group.Group(), group.Health()
 			if !g.Leaving && h.Generation == g.Generation && int(h.Completed) < g.WarmAfter && Owner(g.ID, routers) == s.self {
 				out = append(out, g.ID)
 			}
--- a/route/rebuild.go
+++ b/route/rebuild.go
@@ -58,24 +58,24 @@
 			continue
 		}
 		used[g.ID] = true
-		model.Groups = append(model.Groups, s.backend(g))
+		model.Groups = append(model.Groups, s.trackedGroup(g))
 	}
-	for id := range s.backends {
+	for id := range s.groups {
 		if !used[id] {
-			delete(s.backends, id)
+			delete(s.groups, id)
 		}
 	}
 }
 
-// backend returns the backend of a group, creating it if it is new.
-func (s *Selector) backend(g redwinghall.Group) *TrackedGroup {
-	b, ok := s.backends[g.ID]
+// trackedGroup returns the tracked group of a record, creating it if it is new.
+func (s *Selector) trackedGroup(g redwinghall.Group) *TrackedGroup {
+	group, ok := s.groups[g.ID]
 	if !ok {
-		b = NewTrackedGroup(g)
-		s.backends[g.ID] = b
+		group = NewTrackedGroup(g)
+		s.groups[g.ID] = group
 	}
-	b.SetGroup(g)
-	return b
+	group.SetGroup(g)
+	return group
 }
 
 func (s *Selector) fillServices(view *View, store *peer.Store) {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -16,7 +16,7 @@
 	bound = 2 * time.Second
 )
 
-func backends(n, limit int) []*route.TrackedGroup {
+func groups(n, limit int) []*route.TrackedGroup {
 	out := make([]*route.TrackedGroup, n)
 	for i := range out {
 		id := fmt.Sprint("g", i)
@@ -29,23 +29,23 @@
 
 func query() route.Query { return route.Query{Now: start, Bound: bound} }
 
-func TestPickTakesOnlyUsableBackends(t *testing.T) {
+func TestPickTakesOnlyUsableGroups(t *testing.T) {
 	tests := []struct {
 		name    string
 		disable func(*route.TrackedGroup)
 	}{
-		{"not seen within the bound", func(b *route.TrackedGroup) {
-			b.SetHealth(redwinghall.GroupHealth{Generation: 1, Ready: true, SeenAt: start.Add(-3 * time.Second)})
+		{"not seen within the bound", func(g *route.TrackedGroup) {
+			g.SetHealth(redwinghall.GroupHealth{Generation: 1, Ready: true, SeenAt: start.Add(-3 * time.Second)})
 		}},
-		{"newer generation", func(b *route.TrackedGroup) { b.SetGroup(b.Group().WithGeneration(2)) }},
-		{"leaving", func(b *route.TrackedGroup) { b.SetGroup(b.Group().WithLeaving()) }},
-		{"full", func(b *route.TrackedGroup) { b.SetLimit(0, time.Time{}) }},
-		{"grant ended", func(b *route.TrackedGroup) { b.SetLimit(1000, start) }},
-		{"avoided after a failure", func(b *route.TrackedGroup) { b.Avoid(start.Add(time.Second)) }},
+		{"newer generation", func(g *route.TrackedGroup) { g.SetGroup(g.Group().WithGeneration(2)) }},
+		{"leaving", func(g *route.TrackedGroup) { g.SetGroup(g.Group().WithLeaving()) }},
+		{"full", func(g *route.TrackedGroup) { g.SetLimit(0, time.Time{}) }},
+		{"grant ended", func(g *route.TrackedGroup) { g.SetLimit(1000, start) }},
+		{"avoided after a failure", func(g *route.TrackedGroup) { g.Avoid(start.Add(time.Second)) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			all := backends(3, 1000)
+			all := groups(3, 1000)
 			tt.disable(all[0])
 			tt.disable(all[1])
 			for range 100 {
@@ -56,7 +56,7 @@
 }
 
 func TestPickAvoidedIsBetterThanNone(t *testing.T) {
-	all := backends(1, 1)
+	all := groups(1, 1)
 	all[0].Avoid(start.Add(time.Second))
 	require.Same(t, all[0], route.TwoChoices{}.Pick(query(), all))
 	require.Nil(t, route.TwoChoices{}.Pick(query(), all), "full")
@@ -67,27 +67,27 @@
 }
 
 func TestPrefixHintGivesWayToLoad(t *testing.T) {
-	all := backends(4, 100)
+	all := groups(4, 100)
 	q := query()
-	q.Prefix = 6 // maps to the third backend
+	q.Prefix = 6 // maps to the third group
 	for range 20 {
 		require.Same(t, all[2], route.TwoChoices{}.Pick(q, all))
 	}
 	for range 400 {
 		route.TwoChoices{}.Pick(q, all)
 	}
-	for _, b := range all {
-		require.Positive(t, b.InFlight(), "requests with one prefix spread before the preferred backend is full")
+	for _, g := range all {
+		require.Positive(t, g.InFlight(), "requests with one prefix spread before the preferred group is full")
 	}
 }
 
 func TestPickSpreadsLoad(t *testing.T) {
-	all := backends(10, 1000)
+	all := groups(10, 1000)
 	for range 1000 {
 		require.NotNil(t, route.TwoChoices{}.Pick(query(), all))
 	}
-	for _, b := range all {
-		require.InDelta(t, 100, b.InFlight(), 30)
+	for _, g := range all {
+		require.InDelta(t, 100, g.InFlight(), 30)
 	}
 }
 
@@ -109,7 +109,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{20, 80, 325} {
 		b.Run(fmt.Sprint("groups=", n), func(b *testing.B) {
-			all := backends(n, 1<<30)
+			all := groups(n, 1<<30)
 			q := query()
 			for b.Loop() {
 				q.Prefix += 0x9e3779b97f4a7c15
--- a/route/selector.go
+++ b/route/selector.go
@@ -21,10 +21,10 @@
 
 	view atomic.Pointer[View]
 
-	mu       sync.Mutex
-	backends map[string]*TrackedGroup
-	grants   map[string]time.Time // by group: until when this router may send to it while it is cold
-	gates    map[string]*admit.Gate[*TrackedGroup]
+	mu     sync.Mutex
+	groups map[string]*TrackedGroup
+	grants map[string]time.Time // by group: until when this router may send to it while it is cold
+	gates  map[string]*admit.Gate[*TrackedGroup]
 }
 
 // SelectorConfig holds the identity of a router and how it chooses groups.
@@ -40,7 +40,7 @@
 func NewSelector(c SelectorConfig) *Selector {
 	s := &Selector{
 		zone: c.AvailabilityZone, self: c.Router, aliveBound: c.AliveBound, ramp: c.Ramp, picker: c.Picker,
-		backends: map[string]*TrackedGroup{}, grants: map[string]time.Time{}, gates: map[string]*admit.Gate[*TrackedGroup]{},
+		groups: map[string]*TrackedGroup{}, grants: map[string]time.Time{}, gates: map[string]*admit.Gate[*TrackedGroup]{},
 	}
 	s.view.Store(&View{})
 	return s
@@ -55,8 +55,8 @@
 	g, ok := s.gates[model]
 	if !ok {
 		g = admit.NewGate(func() (*TrackedGroup, bool) {
-			b := s.pick(model, Query{Now: time.Now(), Bound: s.aliveBound})
-			return b, b != nil
+			group := s.pick(model, Query{Now: time.Now(), Bound: s.aliveBound})
+			return group, group != nil
 		})
 		s.gates[model] = g
 	}
@@ -71,12 +71,12 @@
 	return s.picker.Pick(q, m.Groups)
 }
 
-// PickOther acquires a slot on another backend than the one that failed.
+// PickOther acquires a slot on another group than the one that failed.
 func (s *Selector) PickOther(model string, now time.Time, failed *TrackedGroup) *TrackedGroup {
 	return s.pick(model, Query{Now: now, Bound: s.aliveBound, Exclude: failed})
 }
 
-// PickPrefix acquires a slot, preferably on the backend that probably served
+// PickPrefix acquires a slot, preferably on the group that probably served
 // the same prompt prefix before. prefix is a hash of it.
 func (s *Selector) PickPrefix(model string, now time.Time, prefix uint64) *TrackedGroup {
 	return s.pick(model, Query{Now: now, Bound: s.aliveBound, Prefix: prefix})
@@ -85,30 +85,30 @@
 // CountUsable returns the number of groups of the model that may receive
 // requests from this router at now.
 func (s *Selector) CountUsable(model string, now time.Time) int {
-	return s.countBackends(model, func(b *TrackedGroup) bool { return b.Limit() > 0 && b.Usable(now, s.aliveBound) })
+	return s.countGroups(model, func(group *TrackedGroup) bool { return group.Limit() > 0 && group.Usable(now, s.aliveBound) })
 }
 
 // CountHealthy returns the number of groups of the model that can take
 // requests at now, including those that this router may not send to.
 func (s *Selector) CountHealthy(model string, now time.Time) int {
-	return s.countBackends(model, func(b *TrackedGroup) bool { return b.Usable(now, s.aliveBound) })
+	return s.countGroups(model, func(group *TrackedGroup) bool { return group.Usable(now, s.aliveBound) })
 }
 
-func (s *Selector) countBackends(model string, counts func(*TrackedGroup) bool) int {
+func (s *Selector) countGroups(model string, counts func(*TrackedGroup) bool) int {
 	m, ok := s.View().Models[model]
 	if !ok {
 		return 0
 	}
 	n := 0
-	for _, b := range m.Groups {
-		if counts(b) {
+	for _, group := range m.Groups {
+		if counts(group) {
 			n++
 		}
 	}
 	return n
 }
 
-// Refresh updates the health and the limit of each backend and wakes waiting
+// Refresh updates the health and the limit of each group and wakes waiting
 // requests when capacity has become available. routers are the live routers of
 // the zone.
 func (s *Selector) Refresh(now time.Time, health *peer.HealthCache, routers []peer.Member) {
@@ -119,8 +119,8 @@
 		addresses[r.ID] = r.CallerAddress
 	}
 	for _, model := range s.View().Models {
-		for _, b := range model.Groups {
-			g := b.Group()
+		for _, group := range model.Groups {
+			g := group.Group()
 			h, ok := health.Get(g.ID)
 			if !ok {
 				continue
@@ -133,12 +133,12 @@
 			if int(h.Completed) >= g.WarmAfter {
 				until = time.Time{}
 			}
-			b.SetHealth(h)
-			b.SetLimit(limit, until)
+			group.SetHealth(h)
+			group.SetLimit(limit, until)
 			if limit > 0 {
 				owner = s.self
 			}
-			b.SetOwner(ownerAddress(owner, s.self, addresses))
+			group.SetOwner(ownerAddress(owner, s.self, addresses))
 		}
 		model.Gate.Wake(now)
 	}
--- a/route/view.go
+++ b/route/view.go
@@ -19,9 +19,9 @@
 
 // ModelView is one model and its groups in a view.
 type ModelView struct {
-	Model    redwinghall.Model
+	Model  redwinghall.Model
 	Groups []*TrackedGroup
-	Gate     *admit.Gate[*TrackedGroup]
+	Gate   *admit.Gate[*TrackedGroup]
 }
 
 // ServiceView is one plain service and its endpoints in a view.
