--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -36,12 +36,12 @@
 		k.Run(g)
 		return k
 	}
-	b := fixture{table: tab, one: start("router-tartu-1"), two: start("router-parnu-1")}
+	f := fixture{table: tab, one: start("router-tartu-1"), two: start("router-parnu-1")}
 	t.Cleanup(func() {
 		g.Stop()
 		require.NoError(t, g.Wait())
 	})
-	return b
+	return f
 }
 
 func waitRecorded(t *testing.T, k *claim.Keeper) {
@@ -61,11 +61,11 @@
 // proceed; with a separate check before the write, both would, and the customer
 // would pay twice.
 func TestTwoRoutersAtOnceOneProceeds(t *testing.T) {
-	b := newFixture(t)
+	f := newFixture(t)
 	now := time.Now()
 	verdicts := make(chan claim.Verdict, 2)
 	g := kernel.NewGroup(t.Context())
-	for _, k := range []*claim.Keeper{b.one, b.two} {
+	for _, k := range []*claim.Keeper{f.one, f.two} {
 		g.Go("claim", func(ctx context.Context) error {
 			a, err := k.Claim(ctx, now, key, hash)
 			verdicts <- a.Verdict
@@ -95,11 +95,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newFixture(t)
+			f := newFixture(t)
 			now := time.Now()
-			tt.finish(b.one, mustClaim(t, b.one, now))
-			waitRecorded(t, b.one)
-			a, err := b.two.Claim(t.Context(), now.Add(tt.later), key, tt.body)
+			tt.finish(f.one, mustClaim(t, f.one, now))
+			waitRecorded(t, f.one)
+			a, err := f.two.Claim(t.Context(), now.Add(tt.later), key, tt.body)
 			require.NoError(t, err)
 			require.Equal(t, tt.want, a.Verdict)
 		})
@@ -110,52 +110,52 @@
 // back, it must recognize its own claim; if it took it for another router's, the
 // request would stay "in progress" forever.
 func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
-	b := newFixture(t)
-	b.table.SetFaults(table.Faults{LoseAnswers: 1})
-	require.Equal(t, claim.Proceed, mustClaim(t, b.one, time.Now()).Verdict)
+	f := newFixture(t)
+	f.table.SetFaults(table.Faults{LoseAnswers: 1})
+	require.Equal(t, claim.Proceed, mustClaim(t, f.one, time.Now()).Verdict)
 }
 
 // The claim's write is delayed, the router finds no row and refuses the request
 // as not run, and the write arrives afterwards. It must not be carried out, or it
 // would block the client's retry.
 func TestLateClaimCannotLandAfterRefusal(t *testing.T) {
-	b := newFixture(t)
-	b.table.SetFaults(table.Faults{LateWrites: 1})
-	_, err := b.one.Claim(t.Context(), time.Now(), key, hash)
+	f := newFixture(t)
+	f.table.SetFaults(table.Faults{LateWrites: 1})
+	_, err := f.one.Claim(t.Context(), time.Now(), key, hash)
 	require.Equal(t, claim.Lost, redwinghall.KindOf[claim.Kind](err))
-	waitRecorded(t, b.one)
-	require.Zero(t, b.table.LandLate(), "the late claim must find the row taken")
-	require.Equal(t, claim.Proceed, mustClaim(t, b.two, time.Now()).Verdict)
+	waitRecorded(t, f.one)
+	require.Zero(t, f.table.LandLate(), "the late claim must find the row taken")
+	require.Equal(t, claim.Proceed, mustClaim(t, f.two, time.Now()).Verdict)
 }
 
 // As above, for a key that an earlier attempt has released: the second attempt's
 // claim is delayed, abandoned, and arrives late at the released row. The second
 // attempt must write its own release even though the row is released already.
 func TestLateClaimOverReleasedRow(t *testing.T) {
-	b := newFixture(t)
-	b.one.Release(mustClaim(t, b.one, time.Now()))
-	waitRecorded(t, b.one)
-	b.table.SetFaults(table.Faults{Skip: 1, LateWrites: 1}) // the insert conflicts; the claim of the released row is delayed
-	_, err := b.two.Claim(t.Context(), time.Now(), key, hash)
+	f := newFixture(t)
+	f.one.Release(mustClaim(t, f.one, time.Now()))
+	waitRecorded(t, f.one)
+	f.table.SetFaults(table.Faults{Skip: 1, LateWrites: 1}) // the insert conflicts; the claim of the released row is delayed
+	_, err := f.two.Claim(t.Context(), time.Now(), key, hash)
 	require.Error(t, err)
-	waitRecorded(t, b.two)
-	require.Zero(t, b.table.LandLate())
-	require.Equal(t, claim.Proceed, mustClaim(t, b.one, time.Now()).Verdict)
+	waitRecorded(t, f.two)
+	require.Zero(t, f.table.LandLate())
+	require.Equal(t, claim.Proceed, mustClaim(t, f.one, time.Now()).Verdict)
 }
 
 // While the table is down, claims are refused immediately without asking the
 // table for each request, and they succeed again after it recovers.
 func TestTableDownRefusesAtOnceAndRecovers(t *testing.T) {
-	b := newFixture(t)
-	b.table.SetFaults(table.Faults{Down: true})
+	f := newFixture(t)
+	f.table.SetFaults(table.Faults{Down: true})
 	for range 3 {
-		_, err := b.one.Claim(t.Context(), time.Now(), key, hash)
+		_, err := f.one.Claim(t.Context(), time.Now(), key, hash)
 		require.Equal(t, claim.Unavailable, redwinghall.KindOf[claim.Kind](err))
 	}
-	require.LessOrEqual(t, b.one.Writer().Counts().Transactions, uint64(1), "the table is not asked for each request")
-	b.table.SetFaults(table.Faults{})
+	require.LessOrEqual(t, f.one.Writer().Counts().Transactions, uint64(1), "the table is not asked for each request")
+	f.table.SetFaults(table.Faults{})
 	require.Eventually(t, func() bool {
-		a, err := b.one.Claim(t.Context(), time.Now(), key, hash)
+		a, err := f.one.Claim(t.Context(), time.Now(), key, hash)
 		return err == nil && a.Verdict == claim.Proceed
 	}, 10*time.Second, 10*time.Millisecond)
 }
@@ -163,28 +163,28 @@
 // The table accepts the connection and never responds. The claim must end with
 // the request's deadline rather than wait for the table indefinitely.
 func TestSilentTableEndsWithTheRequest(t *testing.T) {
-	b := newFixture(t)
-	b.table.SetFaults(table.Faults{Silent: true})
+	f := newFixture(t)
+	f.table.SetFaults(table.Faults{Silent: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	_, err := b.one.Claim(ctx, time.Now(), key, hash)
+	_, err := f.one.Claim(ctx, time.Now(), key, hash)
 	require.Equal(t, claim.Lost, redwinghall.KindOf[claim.Kind](err))
-	b.table.SetFaults(table.Faults{})
-	waitRecorded(t, b.one)
-	require.Equal(t, claim.Proceed, mustClaim(t, b.two, time.Now()).Verdict)
+	f.table.SetFaults(table.Faults{})
+	waitRecorded(t, f.one)
+	require.Equal(t, claim.Proceed, mustClaim(t, f.two, time.Now()).Verdict)
 }
 
 // The table goes down after a call ran and before its outcome is recorded.
 // Recording must be retried until the table is back; otherwise a retry of the
 // request would not find its response.
 func TestOutcomeIsRecordedAfterAnOutage(t *testing.T) {
-	b := newFixture(t)
-	a := mustClaim(t, b.one, time.Now())
-	b.table.SetFaults(table.Faults{Down: true})
-	b.one.RecordRan(a, redwinghall.Response{Status: 201, Body: []byte("ok")})
-	b.table.SetFaults(table.Faults{})
-	waitRecorded(t, b.one)
-	found := mustClaim(t, b.two, time.Now())
+	f := newFixture(t)
+	a := mustClaim(t, f.one, time.Now())
+	f.table.SetFaults(table.Faults{Down: true})
+	f.one.RecordRan(a, redwinghall.Response{Status: 201, Body: []byte("ok")})
+	f.table.SetFaults(table.Faults{})
+	waitRecorded(t, f.one)
+	found := mustClaim(t, f.two, time.Now())
 	require.Equal(t, claim.Replay, found.Verdict)
 	require.Equal(t, 201, found.Claim.Response.Status)
 }
@@ -192,14 +192,14 @@
 // Many concurrent claims must share transactions rather than use up the table's
 // capacity of several hundred writes.
 func TestConcurrentClaimsShareTransactions(t *testing.T) {
-	b := newFixture(t)
-	b.table.SetFaults(table.Faults{Latency: redwinghall.Duration(5 * time.Millisecond)})
+	f := newFixture(t)
+	f.table.SetFaults(table.Faults{Latency: redwinghall.Duration(5 * time.Millisecond)})
 	const claims = 100
 	g := kernel.NewGroup(t.Context())
 	for i := range claims {
 		g.Go("claim", func(ctx context.Context) error {
 			k := redwinghall.ClaimKey("hauliers", "rental-desk", string(rune('a'+i%26))+string(rune('a'+i/26)))
-			a, err := b.one.Claim(ctx, time.Now(), k, hash)
+			a, err := f.one.Claim(ctx, time.Now(), k, hash)
 			if err == nil && a.Verdict != claim.Proceed {
 				t.Errorf("claim %d: verdict %d", i, a.Verdict)
 			}
@@ -207,20 +207,20 @@
 		})
 	}
 	require.NoError(t, g.Wait())
-	counts := b.one.Writer().Counts()
+	counts := f.one.Writer().Counts()
 	require.Equal(t, uint64(claims), counts.Rows)
 	require.Less(t, counts.Transactions, uint64(claims/2))
 }
 
 // A conflict on one key must not fail the claims that share its transaction.
 func TestConflictSparesTheRestOfTheBatch(t *testing.T) {
-	b := newFixture(t)
-	mustClaim(t, b.two, time.Now())
-	b.table.SetFaults(table.Faults{Latency: redwinghall.Duration(5 * time.Millisecond)})
+	f := newFixture(t)
+	mustClaim(t, f.two, time.Now())
+	f.table.SetFaults(table.Faults{Latency: redwinghall.Duration(5 * time.Millisecond)})
 	g := kernel.NewGroup(t.Context())
 	for _, k := range []string{"claim/a/b/1", key, "claim/a/b/2", "claim/a/b/3"} {
 		g.Go("claim", func(ctx context.Context) error {
-			a, err := b.one.Claim(ctx, time.Now(), k, hash)
+			a, err := f.one.Claim(ctx, time.Now(), k, hash)
 			want := claim.Proceed
 			if k == key {
 				want = claim.InProgress
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -168,8 +168,8 @@
 func (k *Keeper) Release(a Attempt) { k.enqueue(a.Key, a.Claim.WithState(redwinghall.ClaimReleased)) }
 
 // RecordRan records the response to the attempt's call.
-func (k *Keeper) RecordRan(a Attempt, answer redwinghall.Response) {
-	k.enqueue(a.Key, a.Claim.WithResponse(answer))
+func (k *Keeper) RecordRan(a Attempt, response redwinghall.Response) {
+	k.enqueue(a.Key, a.Claim.WithResponse(response))
 }
 
 // RecordUnknown records that the attempt's call was sent and no response arrived.
@@ -178,7 +178,7 @@
 }
 
 // enqueue keeps the outcome in memory until it is written to the table. The caller
-// need not wait: as long as the row says "held", no other router sends the call.
+// need not wait: while the row's state is held, no other router sends the call.
 func (k *Keeper) enqueue(key string, outcome redwinghall.Claim) {
 	k.mu.Lock()
 	k.pending[outcome.Token] = outcome
@@ -190,8 +190,8 @@
 	}
 }
 
-// recordLoop writes pending outcomes to the table. It tries them together, so
-// that they share transactions.
+// recordLoop writes pending outcomes to the table, many at a time, so that they
+// share transactions.
 func (k *Keeper) recordLoop(ctx context.Context) error {
 	for {
 		select {
@@ -212,8 +212,8 @@
 	}
 }
 
-// recordPending tries up to maxBatch pending outcomes once and reports whether all
-// were recorded.
+// recordPending tries to record up to maxBatch pending outcomes and reports whether
+// all of these were recorded.
 func (k *Keeper) recordPending(ctx context.Context) bool {
 	k.mu.Lock()
 	var keys []string
--- a/claim/latch.go
+++ b/claim/latch.go
@@ -5,8 +5,8 @@
 // Latch decides once whether an attempt's call is sent or refused.
 //
 // Without it, a deadline that passes while the call is being sent could make the
-// router answer "not run" although the call goes out a moment later; a caller
-// that books again would then pay twice. Both transitions compare and swap the
+// router answer "not run" although the call is sent a moment later; a caller
+// that sends the request again would then be charged twice. Both transitions compare and swap the
 // same state, so exactly one of them succeeds.
 type Latch struct {
 	state atomic.Int32
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -32,8 +32,8 @@
 	Nonce   string `json:"nonce"`   // identifies this write if its response is lost
 	// Era is the table's era in which the record was written.
 	Era int64 `json:"era,omitempty"`
-	// RecoveredEra is the newest era for which the holder knew that the rows that the table
-	// lost when it was restored had been written again.
+	// RecoveredEra is the newest era for which the holder has established that all rows that
+	// the table lost when it was restored have been written again.
 	RecoveredEra int64 `json:"settled,omitempty"`
 }
 
@@ -82,7 +82,7 @@
 	unchangedSince time.Time // when this version was first seen
 	heldUntil      time.Time
 	known          bool
-	// era counts how often the table has been restored from an older copy.
+	// era is the table's era, the number of times it was restored from an older copy.
 	era int64
 	// sawRestore says that the table was restored while this process was watching it.
 	sawRestore   bool
@@ -93,7 +93,7 @@
 func NewState(config Config) State { return State{config: config} }
 
 // WithEra returns the state for rows that are read in the given era of the table. Rows that
-// were read in another era are disregarded.
+// were read in another era no longer count.
 func (s State) WithEra(era int64) State {
 	if era != s.era {
 		s.sawRestore = s.sawRestore || s.known
@@ -103,7 +103,7 @@
 	return s
 }
 
-// WithRecoveredEra returns the state of a process that knows that the rows lost at the
+// WithRecoveredEra returns the state in which the rows that the table lost at the
 // beginning of the era have been written again.
 func (s State) WithRecoveredEra(era int64) State {
 	s.recoveredEra = era
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -172,7 +172,7 @@
 	paused      map[int]func(now time.Time) error // the rest of a paused controller's step
 }
 
-// runStep lets controller i do one random thing, or injects a fault into the
+// runStep makes controller i take a random action, or injects a fault into the
 // table.
 func (p *simulation) runStep(rt *rapid.T, now time.Time, i int, nonce string) {
 	c := p.controllers[i]
@@ -203,9 +203,9 @@
 }
 
 func (p *simulation) resume(rt *rapid.T, now time.Time, i int) {
-	if wake := p.paused[i]; wake != nil {
+	if rest := p.paused[i]; rest != nil {
 		delete(p.paused, i)
-		require.NoError(rt, wake(now))
+		require.NoError(rt, rest(now))
 	}
 }
 
