--- a/endpoint/group_store.go
+++ b/endpoint/group_store.go
@@ -146,8 +146,8 @@
 
 // commit writes and then reads the zone's rows back, because the table assigns the
 // new versions. If commit fails, the cache stays invalid until the next Load, which
-// also shows what became of a transaction whose response was lost: the fence keeps
-// all other writers out.
+// also shows whether a transaction was carried out whose response was lost: the fence
+// excludes all other writers.
 func (s *GroupStore) commit(ctx context.Context, writes []redwinghall.Write) error {
 	s.loaded = false
 	if err := s.table.Commit(ctx, redwinghall.Txn{Writes: writes}); err != nil {
--- a/endpoint/lease.go
+++ b/endpoint/lease.go
@@ -26,11 +26,11 @@
 // Lease returns the lease status as of the last Tick.
 func (m *Manager) Lease() LeaseStatus { return *m.status.Load() }
 
-// granter returns the function that grants cold groups to routers while this
+// grantFunc returns the function that grants cold groups to routers while this
 // controller holds the lease, and nil if it does not hold it. The function checks
 // the end of the lease at each request, because a controller that was paused may
 // resume after another has acquired the lease.
-func (m *Manager) granter(now time.Time, holds bool) peer.GrantFunc {
+func (m *Manager) grantFunc(now time.Time, holds bool) peer.GrantFunc {
 	if !holds {
 		return nil
 	}
--- a/endpoint/manager.go
+++ b/endpoint/manager.go
@@ -23,8 +23,8 @@
 	Lease            lease.Config
 	// LostAfter is how long a member may be unresponsive before it is replaced.
 	LostAfter time.Duration
-	// SettleTime is how long a leaving group keeps its VMs at least, so that every
-	// router learns that it is leaving.
+	// SettleTime is the minimum time for which a leaving group keeps its VMs, so that
+	// every router learns that it is leaving.
 	SettleTime time.Duration
 	// DrainTimeout is how long a leaving group may take to finish its requests.
 	DrainTimeout time.Duration
@@ -88,7 +88,7 @@
 		m.entryCounter = 0
 		// The last order of the previous holder may still be in transit.
 		m.ordersBlockedUntil = now.Add(m.config.OrderTimeout)
-		m.node.SetGrantFunc(m.granter(now, holds))
+		m.node.SetGrantFunc(m.grantFunc(now, holds))
 		klog.InfoS("lease_changed", "holding", holds, "fencing", m.lease.Fencing())
 	}
 	if !holds || now.Before(m.ordersBlockedUntil) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// stepGroups does one round of the work of the lease holder.
+// stepGroups does one round of the lease holder's work on the groups.
 func (m *Manager) stepGroups(ctx context.Context, now time.Time) error {
 	if !m.groups.Loaded() {
 		if err := m.groups.Load(ctx); err != nil {
@@ -133,9 +133,9 @@
 	return nil
 }
 
-// isWhole reports whether any router has recently observed the group as whole,
+// isHealthy reports whether a router has recently observed the group as healthy,
 // that is with all members alive and ready in the current generation.
-func (m *Manager) isWhole(g redwinghall.Group, now time.Time) bool {
+func (m *Manager) isHealthy(g redwinghall.Group, now time.Time) bool {
 	h, ok := m.node.Health.Get(g.ID)
 	return ok && h.Healthy(g, now, m.config.LostAfter)
 }
@@ -148,7 +148,7 @@
 	return nil
 }
 
-func (m *Manager) dropGroup(ctx context.Context, g redwinghall.Group) error {
+func (m *Manager) deleteGroup(ctx context.Context, g redwinghall.Group) error {
 	if err := m.groups.Delete(ctx, m.lease.FenceCheck(m.config.AvailabilityZone), g.ID); err != nil {
 		return err
 	}
--- a/endpoint/manager_test.go
+++ b/endpoint/manager_test.go
@@ -41,10 +41,10 @@
 		}
 	}
 	for _, row := range vmRows {
-		var b endpoint.Assignment
-		require.NoError(t, json.Unmarshal(row.Value, &b))
+		var a endpoint.Assignment
+		require.NoError(t, json.Unmarshal(row.Value, &a))
 		vm := strings.TrimPrefix(row.Key, "vm/"+zone+"/")
-		require.Equal(t, b.Group, members[vm])
+		require.Equal(t, a.Group, members[vm])
 		delete(members, vm)
 	}
 	require.Empty(t, members, "members without a row")
@@ -81,11 +81,11 @@
 	d.Submit("v1")
 	before := onlyGroup(t, d)
 	d.Fleet.VM(before.Members[1].VM).Restart()
-	d.Eventually("the group is under a new generation and whole", func() bool {
+	d.Eventually("the group has a new generation and is healthy", func() bool {
 		g := onlyGroup(t, d)
-		s := d.Routers[0].Selector.View().Models[rwhtest.Model].Groups
-		return g.Generation > before.Generation && len(s) == 1 && s[0].Group().Generation == g.Generation &&
-			s[0].Usable(time.Now(), time.Minute)
+		tracked := d.Routers[0].Selector.View().Models[rwhtest.Model].Groups
+		return g.Generation > before.Generation && len(tracked) == 1 && tracked[0].Group().Generation == g.Generation &&
+			tracked[0].Usable(time.Now(), time.Minute)
 	})
 	incompleteBefore := d.Fleet.Record().Incomplete
 	require.Equal(t, 10, d.Load(10, 2, 4, 0).Whole)
@@ -156,7 +156,7 @@
 
 // A former holder that was paused for a long time orders an engine, which does not
 // check fencing numbers, to join a group that no longer exists. Routers must not
-// count the engine's group as whole while the engine reports another one, and the
+// count the engine's group as healthy while the engine reports another one, and the
 // holder must order the engine back into its group.
 func TestStaleOrderToAnEngineThatIgnoresFencing(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{VMsPerGroup: 2, Engine: engine.Config{IgnoreFencing: true}})
@@ -166,7 +166,7 @@
 		Model: rwhtest.Model, Version: "v0", Members: before.Members}
 	client := endpoint.NewClient(10 * time.Second)
 	require.NoError(t, client.Order(t.Context(), before.Members[1].Address, stale))
-	d.Eventually("the engine is back under a new order", func() bool {
+	d.Eventually("the engine is back in its group under a new generation", func() bool {
 		g := onlyGroup(t, d)
 		r, err := client.Report(t.Context(), before.Members[1].Address)
 		return err == nil && g.Generation > before.Generation && r.Group == g.ID && r.Generation == g.Generation
@@ -227,10 +227,10 @@
 		}
 		return len(all) == 1
 	})
-	d.Eventually("the service endpoint takes no more work", func() bool {
+	d.Eventually("the service endpoint receives no more requests", func() bool {
 		r, err := d.Book(0, "late")
 		return err == nil && r.Status == http.StatusServiceUnavailable
 	})
 	require.Zero(t, d.Runs("late"))
-	d.Eventually("a whole group serves", func() bool { return d.Load(1, 1, 4, 0).Whole == 1 })
+	d.Eventually("a healthy group serves", func() bool { return d.Load(1, 1, 4, 0).Whole == 1 })
 }
--- a/endpoint/members.go
+++ b/endpoint/members.go
@@ -10,7 +10,8 @@
 	"redwinghall"
 )
 
-// unresponsiveVM says since when a VM has not responded, and to how many requests.
+// unresponsiveVM records since when a VM has not responded, and how many requests
+// it has left unanswered.
 type unresponsiveVM struct {
 	since    time.Time
 	requests int
@@ -97,7 +98,7 @@
 		}
 		if len(spares) == 0 {
 			klog.InfoS("group_lost", "group", g.ID, "vm", member.VM)
-			return m.dropGroup(ctx, g)
+			return m.deleteGroup(ctx, g)
 		}
 		klog.InfoS("member_replaced", "group", g.ID, "lost", member.VM, "by", spares[0].ID)
 		members[i] = redwinghall.Member{VM: spares[0].ID, Address: spares[0].Address}
--- a/endpoint/orders.go
+++ b/endpoint/orders.go
@@ -9,12 +9,12 @@
 	"redwinghall"
 )
 
-// stepOrders polls the members of groups that are not whole, and sends orders to
-// those that are not in their group's current generation. Groups that are whole are
+// stepOrders polls the members of groups that are not healthy, and sends orders to
+// those that are not in their group's current generation. Healthy groups are
 // skipped, because routers already poll their members.
 func (m *Manager) stepOrders(ctx context.Context, now time.Time, _ redwinghall.VMs, _ redwinghall.Manifest) error {
 	for _, g := range m.groups.Groups() {
-		if m.isWhole(g, now) {
+		if m.isHealthy(g, now) {
 			h, _ := m.node.Health.Get(g.ID)
 			for _, member := range g.Members {
 				m.recordResponse(member.VM, h.SeenAt)
--- a/endpoint/publish.go
+++ b/endpoint/publish.go
@@ -15,8 +15,8 @@
 // maxGateways limits how many of a zone's routers accept forwarded requests.
 const maxGateways = 3
 
-// publishGroups publishes the zone's groups to the peers, and a final record of
-// groups that are no longer in the table.
+// publishGroups publishes the zone's groups to the peers. For groups that are no
+// longer in the table, it publishes a final record that marks them as dissolved.
 func (m *Manager) publishGroups() {
 	if !m.groups.Loaded() {
 		return
--- a/endpoint/reports.go
+++ b/endpoint/reports.go
@@ -14,7 +14,7 @@
 	reports := make([]*redwinghall.Report, len(members))
 	round := kernel.NewGroup(ctx)
 	for i, member := range members {
-		round.Go("endpoint.ask", func(ctx context.Context) error {
+		round.Go("endpoint.request_report", func(ctx context.Context) error {
 			if r, err := m.engine.Report(ctx, member.Address); err == nil {
 				reports[i] = &r
 			}
--- a/endpoint/versions.go
+++ b/endpoint/versions.go
@@ -20,7 +20,7 @@
 	}
 	for id, groups := range m.byModel() {
 		model, ok := wanted[id]
-		for _, g := range surplus(model, ok, groups, m.config.AvailabilityZone, func(g redwinghall.Group) bool { return m.isWhole(g, now) }) {
+		for _, g := range surplus(model, ok, groups, m.config.AvailabilityZone, func(g redwinghall.Group) bool { return m.isHealthy(g, now) }) {
 			if err := m.startLeaving(ctx, now, g); err != nil {
 				return err
 			}
@@ -44,9 +44,9 @@
 }
 
 // surplus returns the groups of one model that may leave now. One group of an old
-// version leaves for each new group that is whole, so that the model is served
+// version leaves for each new group that is healthy, so that the model is served
 // throughout an update if there are enough VMs.
-func surplus(model redwinghall.Model, wanted bool, groups redwinghall.Groups, zone string, whole func(redwinghall.Group) bool) redwinghall.Groups {
+func surplus(model redwinghall.Model, wanted bool, groups redwinghall.Groups, zone string, healthy func(redwinghall.Group) bool) redwinghall.Groups {
 	want := model.Replicas[zone]
 	if !wanted || want == 0 {
 		return groups
@@ -59,7 +59,7 @@
 			continue
 		}
 		present = append(present, g)
-		if whole(g) {
+		if healthy(g) {
 			ready++
 		}
 	}
@@ -67,8 +67,8 @@
 	if len(present) > want {
 		out = append(out, present[want:]...)
 	}
-	canGo := max(0, ready+len(old)-want)
-	return append(out, old[:min(canGo, len(old))]...)
+	mayLeave := max(0, ready+len(old)-want)
+	return append(out, old[:min(mayLeave, len(old))]...)
 }
 
 // matchesModel reports whether a group serves what the manifest specifies.
@@ -102,11 +102,11 @@
 	return nil
 }
 
-// loading counts the groups that are not whole yet.
+// loading counts the groups that are not healthy yet.
 func (m *Manager) loading(now time.Time) int {
 	n := 0
 	for _, g := range m.groups.Groups() {
-		if !g.Leaving && !m.isWhole(g, now) {
+		if !g.Leaving && !m.isHealthy(g, now) {
 			n++
 		}
 	}
@@ -188,7 +188,7 @@
 				Fencing: m.lease.Fencing(), Generation: g.Generation, Role: redwinghall.RoleIdle, Members: g.Members[i : i+1],
 			})
 		}
-		if err := m.dropGroup(ctx, g); err != nil {
+		if err := m.deleteGroup(ctx, g); err != nil {
 			return err
 		}
 	}
--- a/rwhtest/deployment.go
+++ b/rwhtest/deployment.go
@@ -156,8 +156,8 @@
 		return false
 	}
 	usable := 0
-	for _, s := range model.Groups {
-		if s.Usable(time.Now(), d.options.AliveBound) && (s.Limit() > 0 || s.Owner() != "") && s.Group().Version == version {
+	for _, g := range model.Groups {
+		if g.Usable(time.Now(), d.options.AliveBound) && (g.Limit() > 0 || g.Owner() != "") && g.Group().Version == version {
 			usable++
 		}
 	}
