--- a/relay/mirror.go
+++ b/relay/mirror.go
@@ -134,12 +134,12 @@
 }
 
 // firstReadTimeout is how long List waits for a table that was never read. When all
-// nodes start at once, the reader has the table shortly after the others ask for it.
+// nodes start at once, the reader has the table shortly after the others request it.
 const firstReadTimeout = 600 * time.Millisecond
 
 // List returns the table without removed rows.
 //
-// When all nodes start at once, none has read the table yet. If List failed then, each
+// When all nodes start at once, none has read the table yet. If List failed in that case, each
 // node would read the table itself, and the store would send the whole table to every node.
 func (m *Mirror) List(ctx context.Context) (Answer, error) {
 	m.awaitFirstRead(ctx)
--- a/relay/peers.go
+++ b/relay/peers.go
@@ -47,8 +47,8 @@
 // fallbackPeer returns a node to call when this node cannot reach the store: one of
 // this zone if possible, else one of another zone.
 func (s *Source) fallbackPeer(now time.Time) (Peer, bool) {
-	for _, group := range [][]Peer{s.config.Peers(), s.config.RemotePeers()} {
-		for _, peer := range RankPeers(group, Reader) {
+	for _, peers := range [][]Peer{s.config.Peers(), s.config.RemotePeers()} {
+		for _, peer := range RankPeers(peers, Reader) {
 			if peer.Name != s.config.Self && !s.backoff.InBackoff(now, peer.Name) {
 				return peer, true
 			}
@@ -57,7 +57,7 @@
 	return Peer{}, false
 }
 
-// recordUnreachable puts a reader in backoff that reported that it cannot reach the
+// recordUnreachable puts a reader in backoff if it reported that it cannot reach the
 // store, since other nodes may still reach it.
 func (s *Source) recordUnreachable(reader Peer, readerErr error) {
 	if redwinghall.KindOf[fleet.StoreKind](readerErr) == fleet.StoreUnreachable {
@@ -99,7 +99,7 @@
 	case role == Dispatcher:
 		return rank(a) < rank(b)
 	}
-	// Opposite order, so that no VM takes both roles while there is another one of its class.
+	// Opposite order, so that no VM has both roles while there is another one of its class.
 	return rank(a) > rank(b)
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -50,7 +50,7 @@
 		require.NoError(t, err)
 		require.Equal(t, []string{"c", "a"}, keys(changes.Rows.Rows), "in the order of their versions, including removals")
 		_, err = m.Changes(context.Background(), fleet.Position{Version: 9}, time.Second)
-		require.Equal(t, fleet.StoreHistoryGone, redwinghall.KindOf[fleet.StoreKind](err), "changes before the list are not known")
+		require.Equal(t, fleet.StoreHistoryGone, redwinghall.KindOf[fleet.StoreKind](err), "changes before the list are not available")
 	})
 }
 
@@ -169,7 +169,7 @@
 
 // store is a fake store that counts calls and can be made to fail.
 type store struct {
-	historyGone  bool // the changes asked for are no longer known
+	historyGone  bool // the requested changes are no longer available
 	down         bool
 	calls        int
 	commits      int
@@ -203,24 +203,24 @@
 // peerClient calls the sources of other nodes by address.
 type peerClient map[string]*relay.Source
 
-func (a peerClient) List(ctx context.Context, address, table string) (relay.Answer, error) {
-	s, ok := a[address]
+func (c peerClient) List(ctx context.Context, address, table string) (relay.Answer, error) {
+	s, ok := c[address]
 	if !ok {
 		return relay.Answer{}, redwinghall.NewOpError("peerClient.List", fleet.StoreUnavailable, errDown)
 	}
 	return s.Mirror(table).List(ctx)
 }
 
-func (a peerClient) Changes(ctx context.Context, address, table string, after fleet.Position, wait time.Duration) (relay.Answer, error) {
-	s, ok := a[address]
+func (c peerClient) Changes(ctx context.Context, address, table string, after fleet.Position, wait time.Duration) (relay.Answer, error) {
+	s, ok := c[address]
 	if !ok {
 		return relay.Answer{}, redwinghall.NewOpError("peerClient.Changes", fleet.StoreUnavailable, errDown)
 	}
 	return s.Mirror(table).Changes(ctx, after, wait)
 }
 
-func (a peerClient) Commit(ctx context.Context, address string, txn fleet.Txn) (fleet.Position, error) {
-	s, ok := a[address]
+func (c peerClient) Commit(ctx context.Context, address string, txn fleet.Txn) (fleet.Position, error) {
+	s, ok := c[address]
 	if !ok {
 		return fleet.Position{}, redwinghall.NewOpError("peerClient.Commit", fleet.StoreUnavailable, errDown)
 	}
@@ -289,8 +289,8 @@
 	})
 }
 
-// When the reader dies, each node reads the store at most once itself; then the next node
-// in line reads for all and continues from the position of the dead reader.
+// When the reader fails, each node reads the store at most once itself. Then the next node
+// in rank reads for all, and continues from the position of the failed reader.
 func TestNextNodeReadsWhenTheReaderDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes, sources, stores := zone(eight...)
@@ -310,7 +310,7 @@
 			}
 		}
 		require.Equal(t, 1, calling)
-		require.True(t, sources["n1"].Mirror("t").Continues(fleet.Position{Version: 5}), "a node that read from the dead reader can continue from its position")
+		require.True(t, sources["n1"].Mirror("t").Continues(fleet.Position{Version: 5}), "a node that read from the failed reader can continue from its position")
 	})
 }
 
@@ -378,7 +378,7 @@
 }
 
 // The store refuses only the reader. The others must not all call the store for as long as
-// that lasts: the next node in line reads for all.
+// that lasts: the next node in rank reads for all.
 func TestReaderRefusedByTheStoreIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, sources, stores := zone(eight...)
--- a/relay/source.go
+++ b/relay/source.go
@@ -36,9 +36,9 @@
 	// unreachableAfter is the time without an answer from the store after which a node that
 	// can't read it relies on other nodes: it asks for changes even if its own copy has a gap.
 	unreachableAfter = 3 * time.Second
-	// probeInterval is the shortest time between two calls of a node that isn't the
-	// zone's reader to a store that failed to answer it. The reader keeps calling, and the
-	// other nodes learn from it when the store is back. The interval is at least
+	// probeInterval is the shortest time between two calls to a store that failed to answer
+	// a node. It doesn't apply to the zone's reader, which keeps calling and through which
+	// the other nodes notice that the store has recovered. The interval is at least
 	// probePerNode for each node of the zone, because the calls of all nodes add up.
 	probeInterval = 1500 * time.Millisecond
 	probePerNode  = 100 * time.Millisecond
@@ -72,12 +72,13 @@
 }
 
 // Source is a fleet.Store whose tables are read by one node of the zone on behalf of all,
-// as long as that node works. Transactions go directly to the store.
+// as long as that node works. Transactions are sent directly to the store.
 //
 // The reader is the node that forms the zone's groups, so that it is the first to see the
-// effects of its orders. Next in line are the zone's nodes in the order of RankPeers. A
+// effects of its orders. After it come the zone's other nodes in the order of RankPeers. A
 // node skips a reader that doesn't respond or returns stale rows, so the next one takes
-// its place. Each node keeps the rows that it received, and can continue from there.
+// its place. Each node keeps the rows that it received, so as a reader it continues from
+// their position.
 //
 // The reads of the store thus grow with the number of zones, not of nodes.
 type Source struct {
@@ -140,7 +141,7 @@
 // callStore calls the store, unless it recently failed to answer this node.
 //
 // In an outage no reader has rows to pass on. Without the limit, every node would keep
-// calling the store, and the store would come back to the load of all nodes.
+// calling the store, and the calls of all nodes would overload it when it recovers.
 func (s *Source) callStore(now time.Time, table string, read func() (fleet.Rows, error)) (fleet.Rows, error) {
 	if !s.mayCallStore(now, table) {
 		return fleet.Rows{}, redwinghall.NewOpError("Source.callStore", fleet.StoreUnavailable, errStoreBackoff)
@@ -159,8 +160,8 @@
 	return rows, err
 }
 
-// nextProbeInterval returns how long this node waits until it calls a store again that
-// failed to answer it, with random jitter.
+// nextProbeInterval returns the time, with random jitter, until this node calls the store
+// again after a call that was not answered.
 func (s *Source) nextProbeInterval() time.Duration {
 	pause := max(probeInterval, time.Duration(len(s.config.Peers()))*probePerNode)
 	return pause + time.Duration(probeJitter*rand.Float64()*float64(pause))
@@ -170,8 +171,8 @@
 
 var errStoreBackoff = errors.New("not calling the store: it recently did not answer this node")
 
-// mayCallStore reports whether this node may call the store: the zone's reader always,
-// other nodes if the store didn't recently fail to answer them.
+// mayCallStore reports whether this node may call the store. The zone's reader always may,
+// another node only if the store didn't recently fail to answer it.
 func (s *Source) mayCallStore(now time.Time, table string) bool {
 	peers := s.config.Peers()
 	if len(peers) <= maxDirectReaders || leaderFirst(RankPeers(peers, Reader), s.config.Leader())[0].Name == s.config.Self {
@@ -207,7 +208,7 @@
 		err = redwinghall.NewOpError("Source.Changes", fleet.StoreHistoryGone, errOtherEra)
 	}
 	if redwinghall.KindOf[fleet.StoreKind](err) == fleet.StoreHistoryGone {
-		return fleet.Rows{}, err // the store answered: nodes that read from this one wait for its next list
+		return fleet.Rows{}, err // the store answered: the mirror isn't marked unreachable, and nodes that read it wait for the next list
 	}
 	if err != nil {
 		s.Mirror(table).SetStoreUnreachable()
