--- a/neighbor/client.go
+++ b/neighbor/client.go
@@ -105,8 +105,8 @@
 type LoadReport struct {
 	Node  string
 	Loads map[string]balance.Load
-	// Settled is a ticket of the node. Loads includes all streams with lower tickets.
-	Settled uint64
+	// LowestOpenTicket is a ticket of the node. Loads includes all streams with lower tickets.
+	LowestOpenTicket uint64
 	// WithOthers requests the loads from the other nodes of the zone, WithZones those from
 	// the other zones.
 	WithOthers, WithZones bool
@@ -121,7 +121,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	out, err := c.clientFor(address).Share(ctx, &rpc.ShareRequest{
-		Node: report.Node, Loads: encodeLoads(report.Loads), Settled: report.Settled, WithOthers: report.WithOthers,
+		Node: report.Node, Loads: encodeLoads(report.Loads), Settled: report.LowestOpenTicket, WithOthers: report.WithOthers,
 		WithZones: report.WithZones, Limits: encodeLimits(report.Limits), WithLimits: report.WithLimits,
 	})
 	if err != nil {
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -171,7 +171,7 @@
 	ctx := context.Background()
 	o.loads.SetNode(time.Now(), "n2", map[string]balance.Load{"e1": {Requests: 3, Unstarted: 1, Unread: 500}})
 	require.NoError(t, client.ShareZone(ctx, address, "zone-b", map[string]balance.Load{"e1": {Requests: 2}, "e2": {Requests: 1}}, nil))
-	report := neighbor.LoadReport{Node: "n1", Loads: map[string]balance.Load{"e1": {Requests: 7}}, Settled: 12, WithOthers: true, WithZones: true}
+	report := neighbor.LoadReport{Node: "n1", Loads: map[string]balance.Load{"e1": {Requests: 7}}, LowestOpenTicket: 12, WithOthers: true, WithZones: true}
 	shared, err := client.Share(ctx, address, report)
 	require.Equal(t, uint64(12), o.settled["n1"])
 	require.NoError(t, err)
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -52,9 +52,10 @@
 
 func (s *sharer) share(ctx context.Context, now time.Time) {
 	n := s.node
-	// Settled is read first, so that the loads include every settled ticket.
+	// LowestOpenTicket is read first, so that the loads include the streams of all lower
+	// tickets.
 	report := neighbor.LoadReport{
-		Node: n.settings.Node, Settled: n.tracker.Tickets.LowestOpen(), Loads: n.tracker.OwnLoads(now), Limits: n.tracker.OwnLimitReports(now),
+		Node: n.settings.Node, LowestOpenTicket: n.tracker.Tickets.LowestOpen(), Loads: n.tracker.OwnLoads(now), Limits: n.tracker.OwnLimitReports(now),
 	}
 	if !s.due(now, report) {
 		return
