--- a/neighbor/client.go
+++ b/neighbor/client.go
@@ -105,7 +105,8 @@
 type LoadReport struct {
 	Node  string
 	Loads map[string]balance.Load
-	// LowestOpenTicket is a ticket of the node. Loads includes all streams with lower tickets.
+	// LowestOpenTicket is the node's lowest ticket that is still open. Loads includes all
+	// streams with lower tickets.
 	LowestOpenTicket uint64
 	// WithOthers requests the loads from the other nodes of the zone, WithZones those from
 	// the other zones.
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// Reserve requests a node to choose a group of its zone. A caller is waiting, so the
-// call times out after reserveTimeout.
+// Reserve asks a node to choose a group of its zone. A caller is waiting, so the call
+// times out after reserveTimeout.
 func (c *Client) Reserve(ctx context.Context, address string, request fleet.PlacementRequest) (fleet.Placement, error) {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
@@ -186,8 +187,8 @@
 	return nil
 }
 
-// callError wraps an error and closes the idle connections: the next call must not fail
-// too because it reuses a broken connection.
+// callError wraps an error and closes the idle connections, so that the next call does not
+// fail on a broken connection that it reuses.
 func (c *Client) callError(op string, err error) error {
 	c.http.CloseIdleConnections()
 	return redwinghall.NewOpError(op, fleet.StoreUnavailable, err)
--- a/neighbor/compress.go
+++ b/neighbor/compress.go
@@ -30,22 +30,22 @@
 
 // compress replaces the rows of a response by their compressed form, if there are at least
 // compressMinRows.
-func (c *rowCompressor) compress(table string, answer *rpc.RowsResponse) error {
-	if len(answer.GetRows()) < compressMinRows {
+func (c *rowCompressor) compress(table string, response *rpc.RowsResponse) error {
+	if len(response.GetRows()) < compressMinRows {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last, ok := c.last[table]
-	if !ok || last.version != answer.GetVersion() {
-		packed, err := deflateRows(answer.GetRows())
+	if !ok || last.version != response.GetVersion() {
+		packed, err := deflateRows(response.GetRows())
 		if err != nil {
 			return err
 		}
-		last = compressedRows{version: answer.GetVersion(), bytes: packed}
+		last = compressedRows{version: response.GetVersion(), bytes: packed}
 		c.last[table] = last
 	}
-	answer.Rows, answer.Packed = nil, last.bytes
+	response.Rows, response.Packed = nil, last.bytes
 	return nil
 }
 
@@ -73,11 +73,11 @@
 const maxDecompressedBytes = 64 << 20
 
 // decompress replaces the compressed rows of a response by the rows.
-func decompress(answer *rpc.RowsResponse) error {
-	if len(answer.GetPacked()) == 0 {
+func decompress(response *rpc.RowsResponse) error {
+	if len(response.GetPacked()) == 0 {
 		return nil
 	}
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(answer.GetPacked())), maxDecompressedBytes))
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(response.GetPacked())), maxDecompressedBytes))
 	if err != nil {
 		return err
 	}
@@ -85,6 +85,6 @@
 	if err := proto.Unmarshal(plain, &rows); err != nil {
 		return err
 	}
-	answer.Rows, answer.Packed = rows.GetRows(), nil
+	response.Rows, response.Packed = rows.GetRows(), nil
 	return nil
 }
--- a/neighbor/neighbor_test.go
+++ b/neighbor/neighbor_test.go
@@ -26,18 +26,18 @@
 	commits    []fleet.Txn
 	commitErr  error
 	requests   []fleet.PlacementRequest
-	settled    map[string]uint64
+	tickets    map[string]uint64 // lowest open ticket by node
 	uninformed bool
 	limits     *balance.Tracker
 }
 
 func serve(t *testing.T) (*remoteNode, *neighbor.Client, string) {
 	t.Helper()
-	o := &remoteNode{mirror: relay.NewMirror(nil), loads: neighbor.NewLoadTable(), settled: map[string]uint64{}, limits: balance.NewTracker()}
+	o := &remoteNode{mirror: relay.NewMirror(nil), loads: neighbor.NewLoadTable(), tickets: map[string]uint64{}, limits: balance.NewTracker()}
 	server := httptest.NewServer(neighbor.NewHandler(neighbor.ServerConfig{
 		Mirror: func(string) *relay.Mirror { return o.mirror }, Loads: o.loads,
 		Suspect: func(_ context.Context, id string) { o.suspected = append(o.suspected, id) },
-		OnLoads: func(_ time.Time, node string, settled uint64) { o.settled[node] = settled },
+		OnLoads: func(_ time.Time, node string, lowestOpenTicket uint64) { o.tickets[node] = lowestOpenTicket },
 		Reserve: func(_ time.Time, request fleet.PlacementRequest) (fleet.Placement, bool) {
 			o.requests = append(o.requests, request)
 			return fleet.Placement{Endpoint: "e1", Predicted: 123 * time.Millisecond, AlternativeZone: "b", Permitted: true, LimitedFor: 70 * time.Millisecond}, !o.uninformed
@@ -139,8 +139,8 @@
 	require.Less(t, time.Since(started), 2*time.Second, "the bound allows for a busy machine")
 }
 
-// The limits that a node knows are passed on with its loads, and a response to a permit
-// request carries the limit that the other node knows.
+// A node sends its limits together with its loads, and the response to a permit request
+// carries the limit that applies at the other node.
 func TestLimitsArePassedOn(t *testing.T) {
 	o, client, address := serve(t)
 	ctx := context.Background()
@@ -173,7 +173,7 @@
 	require.NoError(t, client.ShareZone(ctx, address, "zone-b", map[string]balance.Load{"e1": {Requests: 2}, "e2": {Requests: 1}}, nil))
 	report := neighbor.LoadReport{Node: "n1", Loads: map[string]balance.Load{"e1": {Requests: 7}}, LowestOpenTicket: 12, WithOthers: true, WithZones: true}
 	shared, err := client.Share(ctx, address, report)
-	require.Equal(t, uint64(12), o.settled["n1"])
+	require.Equal(t, uint64(12), o.tickets["n1"])
 	require.NoError(t, err)
 	require.Equal(t, map[string]balance.Load{"e1": {Requests: 3, Unstarted: 1, Unread: 500}}, shared.Others)
 	require.Equal(t, map[string]balance.Load{"e1": {Requests: 2}, "e2": {Requests: 1}}, shared.Zones)
--- a/neighbor/server.go
+++ b/neighbor/server.go
@@ -24,11 +24,11 @@
 	Suspect func(ctx context.Context, endpointID string)
 	// OnLoads is called after a node of this zone has reported its loads and they are
 	// stored in Loads.
-	OnLoads func(now time.Time, node string, settled uint64)
+	OnLoads func(now time.Time, node string, lowestOpenTicket uint64)
 	// Reserve chooses a group of this zone for another node's stream. ok is false if this
 	// node lacks the information to choose.
 	Reserve func(now time.Time, request fleet.PlacementRequest) (placement fleet.Placement, ok bool)
-	// Limits holds the limits of the endpoints that this node knows.
+	// Limits tracks the rate limits of the endpoints.
 	Limits *balance.Tracker
 	// Permit grants or denies one request to an endpoint of a zone.
 	Permit func(now time.Time, zone string, known balance.LimitReport) balance.Permit
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -46,8 +46,8 @@
 }
 
 // onLoads processes a load report from another node of the zone.
-func (n *Node) onLoads(now time.Time, node string, settled uint64) {
-	n.tracker.ReleaseReservations(node, settled)
+func (n *Node) onLoads(now time.Time, node string, lowestOpenTicket uint64) {
+	n.tracker.ReleaseReservations(node, lowestOpenTicket)
 	if n.collectsLoads(now) {
 		n.applyLoads(now)
 	}
