--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -51,8 +51,8 @@
 	}
 	n.recordResult(m, err)
 	if err != nil {
-		// A connection that a middlebox has lost track of never answers
-		// again, so idle connections are closed and not reused.
+		// A connection whose state a middlebox has lost never responds again,
+		// so idle connections are closed and not reused.
 		n.client.CloseIdleConnections()
 		return redwinghall.NewOpError("Node.exchange", Unreachable, err)
 	}
--- a/peer/grant.go
+++ b/peer/grant.go
@@ -33,8 +33,8 @@
 }
 
 // RequestGrants asks the holder of the zone's lease which of the cold groups
-// this router may send to. It tries the controller that granted last first, and
-// the others if that one no longer holds the lease.
+// this router may send to. It calls the last known holder first, and the other
+// controllers if that one no longer holds the lease.
 func (n *Node) RequestGrants(ctx context.Context, groups []string) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
--- a/peer/health_cache.go
+++ b/peer/health_cache.go
@@ -99,7 +99,7 @@
 	return out
 }
 
-// worthSending reports whether h tells a peer that holds t something new.
+// worthSending reports whether h is sufficiently newer than t, which the peer holds.
 func worthSending(h, t redwinghall.GroupHealth) bool {
 	if h.Generation != t.Generation {
 		return h.Generation > t.Generation
--- a/peer/node.go
+++ b/peer/node.go
@@ -67,7 +67,7 @@
 	// wantsHealth is set on a controller that needs the health of groups.
 	wantsHealth atomic.Bool
 	grantFunc   atomic.Pointer[GrantFunc]
-	leaseHolder atomic.Pointer[string] // ID of the controller that granted last
+	leaseHolder atomic.Pointer[string] // ID of the last known holder of the zone's lease
 
 	mu             sync.Mutex
 	failures       map[string]int
@@ -181,7 +181,7 @@
 }
 
 // tick starts the periodic exchanges of this process. Routers exchange the
-// health of groups in rounds, see round.go; a controller asks one router.
+// health of groups in rounds, see round.go; a controller exchanges with one router.
 func (n *Node) tick(ctx context.Context, now time.Time) {
 	n.mu.Lock()
 	n.ticks++
@@ -198,9 +198,9 @@
 	n.tickOtherZones(ctx, now)
 }
 
-// tickOtherZones exchanges with another zone at random, so that the processes of
-// a zone together start crossZonePerTick such exchanges per interval on average,
-// however many they are.
+// tickOtherZones exchanges with another zone with a probability at which all
+// processes of this zone together start crossZonePerTick such exchanges per
+// interval on average, independent of their number.
 func (n *Node) tickOtherZones(ctx context.Context, now time.Time) {
 	zone := len(n.Members(n.Self.AvailabilityZone))
 	if rand.IntN(max(1, zone)) < crossZonePerTick {
--- a/peer/push.go
+++ b/peer/push.go
@@ -97,7 +97,7 @@
 const offerRetryInterval = 500 * time.Millisecond
 
 // AcceptOffers returns the keys of the offers to request: those that are newer
-// than what is held and have not been requested within offerRetryInterval.
+// than the entries held and have not been requested within offerRetryInterval.
 func (n *Node) AcceptOffers(now time.Time, offers []Mark) []string {
 	outdated := n.Store.Outdated(offers)
 	n.mu.Lock()
--- a/peer/server_test.go
+++ b/peer/server_test.go
@@ -77,18 +77,18 @@
 	})
 	health := redwinghall.GroupHealth{Group: "g", Generation: 1, Ready: true, SeenAt: time.Now()}
 	nodes[8].Observe(health)
-	eventually(t, "every router knows the group as ready", func() bool { return allHave(nodes, func(h redwinghall.GroupHealth) bool { return h.Ready }) })
+	eventually(t, "every router has the group as ready", func() bool { return allHave(nodes, func(h redwinghall.GroupHealth) bool { return h.Ready }) })
 	health.Broken = true
 	nodes[5].Observe(health)
-	eventually(t, "every router knows the group as broken", func() bool {
+	eventually(t, "every router has the group as broken", func() bool {
 		return allHave(nodes, func(h redwinghall.GroupHealth) bool { return h.Broken })
 	})
 }
 
-func allHave(nodes []*peer.Node, holds func(redwinghall.GroupHealth) bool) bool {
+func allHave(nodes []*peer.Node, expected func(redwinghall.GroupHealth) bool) bool {
 	for _, n := range nodes {
 		h, ok := n.Health.Get("g")
-		if !ok || !holds(h) {
+		if !ok || !expected(h) {
 			return false
 		}
 	}
@@ -108,7 +108,7 @@
 	require.Equal(t, []string{peer.KeyManifest}, n.AcceptOffers(now.Add(time.Second), offer), "the request has timed out")
 	n.Store.Apply(peer.Entry{Key: peer.KeyManifest, Number: 7})
 	require.Empty(t, n.AcceptOffers(now.Add(time.Minute), offer), "already held")
-	require.Empty(t, n.AcceptOffers(now.Add(time.Minute), []peer.Mark{{Key: peer.KeyManifest, Number: 6}}), "older than what is held")
+	require.Empty(t, n.AcceptOffers(now.Add(time.Minute), []peer.Mark{{Key: peer.KeyManifest, Number: 6}}), "older than the entry held")
 }
 
 func TestLargeRegisterReachesEveryRouter(t *testing.T) {
@@ -135,7 +135,7 @@
 	require.Len(t, seeds, 5)
 	nodes[0].Publish(peer.Entry{Key: peer.KeyGroup("tartu", "g"), Number: 1, Value: []byte(`{}`)})
 	nodes[3].Observe(redwinghall.GroupHealth{Group: "g", Generation: 1, Ready: true, SeenAt: time.Now()})
-	eventually(t, "every router knows the group as ready", func() bool { return allHave(nodes, func(h redwinghall.GroupHealth) bool { return h.Ready }) })
+	eventually(t, "every router has the group as ready", func() bool { return allHave(nodes, func(h redwinghall.GroupHealth) bool { return h.Ready }) })
 }
 
 // FuzzExchange sends arbitrary bytes as an exchange request.
--- a/peer/store.go
+++ b/peer/store.go
@@ -21,7 +21,7 @@
 	gatewayPrefix = "gateway/"
 )
 
-// KeyZoneState returns the key of the operators' decision on a zone.
+// KeyZoneState returns the key of the state that operators set for a zone.
 func KeyZoneState(zone string) string { return azPrefix + zone }
 
 // KeyGateway returns the key of the list of a zone's routers that accept
@@ -102,7 +102,7 @@
 // Apply stores the entries that are newer than those held and returns them.
 //
 // An entry with an equal or lower number is never applied. Otherwise an older
-// manifest, zone decision or group that arrives late from a peer, a restarted
+// manifest, zone state or group that arrives late from a peer, a restarted
 // process or the platform would undo a newer one, and a zone that was taken out
 // of service would receive requests again. Numbers are versions of table rows,
 // which only increase.
