--- a/cmd/standin/steps.go
+++ b/cmd/standin/steps.go
@@ -95,7 +95,7 @@
 				return false
 			}
 			for _, g := range status.Groups {
-				if g.Whole && !g.Leaving {
+				if g.Healthy && !g.Leaving {
 					total++
 				}
 			}
--- a/daemon/controller.go
+++ b/daemon/controller.go
@@ -163,7 +163,7 @@
 			continue
 		}
 		h, _ := c.Node.Health.Get(g.ID)
-		out = append(out, operator.GroupStatus{Group: g, Whole: h.Healthy(g, now, c.settings.AliveBound.Std())})
+		out = append(out, operator.GroupStatus{Group: g, Healthy: h.Healthy(g, now, c.settings.AliveBound.Std())})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
--- a/measure/deployment.go
+++ b/measure/deployment.go
@@ -197,7 +197,7 @@
 			}
 			whole := 0
 			for _, g := range status.Groups {
-				if g.Whole {
+				if g.Healthy {
 					whole++
 				}
 			}
--- a/measure/downtime.go
+++ b/measure/downtime.go
@@ -73,7 +73,7 @@
 // been ordered anew.
 func mended(groups []operator.GroupStatus, hit operator.GroupStatus, victim string, action engine.Action) bool {
 	for _, g := range groups {
-		if !g.Whole || (g.ID == hit.ID && g.Generation == hit.Generation) {
+		if !g.Healthy || (g.ID == hit.ID && g.Generation == hit.Generation) {
 			return false
 		}
 		for _, m := range g.Members {
--- a/operator/server.go
+++ b/operator/server.go
@@ -60,10 +60,10 @@
 	PlatformUnreachableSince *time.Time `json:"platform_unreachable_since,omitempty"`
 }
 
-// GroupStatus is a group and whether it can serve.
+// GroupStatus is a group and whether all its members are alive and ready.
 type GroupStatus struct {
 	redwinghall.Group
-	Whole bool `json:"whole"`
+	Healthy bool `json:"whole"`
 }
 
 // Backend is the part of a controller that the operator API uses.
