--- a/fleet/placement.go
+++ b/fleet/placement.go
@@ -13,11 +13,13 @@
 	// InBackoff holds the endpoints in backoff at the requesting node, because they didn't
 	// answer it.
 	InBackoff []string
-	// Resumed says that the stream was begun by another group and is worth finishing late.
+	// Resumed says that another group has started the stream, so that finishing it late is
+	// better than refusing it.
 	Resumed bool
 	// Node is the requesting node.
 	Node string
-	// Ticket is the sequence number of a node's requests in its own zone; 0 in another zone.
+	// Ticket is the sequence number of the request among those of the node to its own zone;
+	// 0 for a request to another zone.
 	Ticket uint64
 }
 
--- a/fleet/settings.go
+++ b/fleet/settings.go
@@ -7,7 +7,7 @@
 	"redwinghall"
 )
 
-// Settings are the settings that a node receives at startup.
+// Settings holds the settings that a node receives at startup.
 type Settings struct {
 	Node  string
 	Zone  string
@@ -32,7 +32,7 @@
 
 // Bounds are the operators' limits on how the whole deployment behaves.
 type Bounds struct {
-	Contact        time.Duration // until a machine that was cut off is reachable again
+	Contact        time.Duration // until a VM that was cut off is reachable again
 	Drain          time.Duration // until a leaving endpoint gets no more requests
 	Grace          time.Duration // from SIGTERM to SIGKILL
 	Configuration  time.Duration // until a configuration is in force on all nodes
--- a/operator/acceptor.go
+++ b/operator/acceptor.go
@@ -103,8 +103,8 @@
 	const op = "Acceptor.decide"
 	maySucceedLate := false
 	var last error
-	for try := range a.MaxAttempts {
-		if try > 0 && !kernel.Sleep(ctx, a.RetryInterval) {
+	for attempt := range a.MaxAttempts {
+		if attempt > 0 && !kernel.Sleep(ctx, a.RetryInterval) {
 			break
 		}
 		rows, err := a.table.Read(ctx, tablehttp.KeySubmission(sub.SubmitID), tablehttp.KeyHead)
@@ -121,9 +121,9 @@
 		}
 		next, number, extra, refused := apply(head)
 		if refused != "" {
-			// Final even after a lost response: the head has changed without the
-			// submission's row, and the earlier transaction is conditional on the
-			// old head, so it can no longer take effect.
+			// The refusal is final even after a lost response: the head has changed
+			// without the submission's row, and the earlier transaction is conditional
+			// on the old head, so it can no longer take effect.
 			return Accepted{}, redwinghall.NewOpError(op, refused, nil)
 		}
 		err = a.commit(ctx, sub, rows[1].Version, next, number, extra)
@@ -169,6 +169,7 @@
 	return out, nil
 }
 
+// recorded returns the result of a submission that was accepted earlier.
 func recorded(op string, row redwinghall.Row) (Accepted, error) {
 	var r record
 	if err := json.Unmarshal(row.Value, &r); err != nil {
--- a/operator/acceptor_test.go
+++ b/operator/acceptor_test.go
@@ -37,7 +37,7 @@
 func code(err error) redwinghall.Code { return redwinghall.KindOf[redwinghall.Code](err) }
 
 // Two operators submit manifests that replace the same generation. Only one may
-// be accepted, and the other must be told that it lost the race.
+// be accepted, and the other must be refused with CodeManifestRace.
 func TestRaceHasOneWinner(t *testing.T) {
 	tab := table.New()
 	a := acceptor(tab)
