--- a/fleet/order.go
+++ b/fleet/order.go
@@ -36,7 +36,7 @@
 	Done Outcome = "done"
 	// Refused: the order was not carried out and will not be.
 	Refused Outcome = "refused"
-	// Unanswered: the order may have been carried out, or may still be seconds later.
+	// Unanswered: the order may have been carried out, or may be carried out seconds later.
 	Unanswered Outcome = "unanswered"
 )
 
--- a/fleet/store.go
+++ b/fleet/store.go
@@ -61,7 +61,7 @@
 	StoreUnavailable StoreKind = "store_unavailable"
 	// StoreUnreachable: the node that was called can't reach the store itself.
 	StoreUnreachable StoreKind = "store_away"
-	// StoreOutcomeUnknown: the transaction may have been applied, or may still be.
+	// StoreOutcomeUnknown: the transaction may have been applied, or may be applied later.
 	StoreOutcomeUnknown StoreKind = "store_unknown"
 	// StoreConflict: a precondition of the transaction was not met.
 	StoreConflict StoreKind = "store_conflict"
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -81,7 +81,7 @@
 	record         Record
 	unchangedSince time.Time // when this version was first seen
 	heldUntil      time.Time
-	known          bool
+	known          bool // whether the rows have been read in the current era
 	// era is the table's era, the number of times it was restored from an older copy.
 	era int64
 	// sawRestore says that the table was restored while this process was watching it.
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -82,7 +82,7 @@
 	return err
 }
 
-func TestLeaseIsTakenRenewedAndLapses(t *testing.T) {
+func TestLeaseIsAcquiredRenewedAndExpires(t *testing.T) {
 	tab := table.New()
 	a, b := newController(tab, "a", 0), newController(tab, "b", time.Hour)
 	require.NoError(t, a.step(start, "1"))
@@ -105,7 +105,7 @@
 // The response to a lease transaction is lost. The controller must tell its
 // own record from another's when it reads the row back; otherwise two
 // controllers could order the same VMs into different groups.
-func TestLostAnswerToTaking(t *testing.T) {
+func TestLostAnswerToAcquiring(t *testing.T) {
 	tab := table.New()
 	tab.SetFaults(table.Faults{LoseAnswers: 1})
 	a := newController(tab, "a", 0)
@@ -116,7 +116,7 @@
 // A holder prepares a transaction and is paused, another controller acquires
 // the lease, and the first one resumes and commits. The check of the fence row
 // must reject the transaction, which would overwrite a group of the new holder.
-func TestFenceStopsAFrozenHolder(t *testing.T) {
+func TestFenceStopsAPausedHolder(t *testing.T) {
 	tab := table.New()
 	a, b := newController(tab, "a", 0), newController(tab, "b", 0)
 	require.NoError(t, a.step(start, "1"))
@@ -128,7 +128,7 @@
 	require.Equal(t, redwinghall.TableConflict, redwinghall.KindOf[redwinghall.TableKind](err))
 }
 
-func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
+func TestReleasedLeaseIsAcquiredAtOnce(t *testing.T) {
 	tab := table.New()
 	a, b := newController(tab, "a", 0), newController(tab, "b", 0)
 	require.NoError(t, a.step(start, "1"))
@@ -146,7 +146,7 @@
 // lease meanwhile. When b resumes, its transaction is delayed and it reads a's
 // new row. If b counted that row as unchanged since its own transaction was
 // sent, b would take over while a holds the lease.
-func TestThawedWatcherWaitsForTheRowItReads(t *testing.T) {
+func TestResumedWatcherWaitsForTheRowItReads(t *testing.T) {
 	tab := table.New()
 	a, b := newController(tab, "a", 0), newController(tab, "b", 0)
 	require.NoError(t, a.step(start, "1"))
--- a/relay/source.go
+++ b/relay/source.go
@@ -14,7 +14,8 @@
 	"redwinghall/fleet"
 )
 
-// Which nodes read the store, and when the other nodes stop using a reader.
+// Limits that decide which nodes read the store, and when the other nodes stop using a
+// reader.
 const (
 	// maxDirectReaders is the largest number of nodes with which a zone needs no reader.
 	// Up to it, every node reads the store itself: those calls cost less than the failure
@@ -34,7 +35,7 @@
 	// stopped responding is detected after peerWait and the timeout of the call.
 	peerWait = 700 * time.Millisecond
 	// unreachableAfter is the time without an answer from the store after which a node that
-	// can't read it relies on other nodes: it asks for changes even if its own copy has a gap.
+	// can't read it relies on other nodes: it requests changes even if its own copy has a gap.
 	unreachableAfter = 3 * time.Second
 	// probeInterval is the shortest time between two calls to a store that failed to answer
 	// a node. It doesn't apply to the zone's reader, which keeps calling and through which
--- a/route/owner.go
+++ b/route/owner.go
@@ -50,8 +50,8 @@
 	return found
 }
 
-// activeGrant returns until when this router may send to a cold group, and
-// false when it holds no grant for it or the grant has expired.
+// activeGrant returns the end of this router's grant to send to a cold group, and
+// false if it has none or the grant has expired.
 func (s *Selector) activeGrant(group string, now time.Time) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/route/selector.go
+++ b/route/selector.go
@@ -23,7 +23,7 @@
 
 	mu     sync.Mutex
 	groups map[string]*TrackedGroup
-	grants map[string]time.Time // by group: until when this router may send to it while it is cold
+	grants map[string]time.Time // by group: end of this router's grant to send to it while it is cold
 	gates  map[string]*admit.Gate[*TrackedGroup]
 }
 
