--- a/measure/deployment.go
+++ b/measure/deployment.go
@@ -200,7 +200,7 @@
 			}
 			healthy := 0
 			for _, g := range status.Groups {
-				if g.Whole {
+				if g.Healthy {
 					healthy++
 				}
 			}
--- a/route/view.go
+++ b/route/view.go
@@ -17,11 +17,11 @@
 	Services []string `json:"services"`
 }
 
-// ModelView is one model and its backends in a view.
+// ModelView is one model and its groups in a view.
 type ModelView struct {
-	Model    redwinghall.Model
-	Backends []*Backend
-	Gate     *admit.Gate[*Backend]
+	Model  redwinghall.Model
+	Groups []*TrackedGroup
+	Gate   *admit.Gate[*TrackedGroup]
 }
 
 // ServiceView is one plain service and its endpoints in a view.
