--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -22,10 +22,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Streams 400 events through a loop that only copies, and through the gateway;
-// caller, relay and endpoint share this one process. The difference is the CPU time
-// that the gateway adds per event: 2.9 us when this benchmark was written (32.0 us
-// copied, 34.9 us relayed).
+// BenchmarkEvent streams 400 events through a loop that only copies, and through the
+// gateway; caller, relay and endpoint share one process. The difference is the CPU
+// time that the gateway adds per event: 2.9 us (32.0 us copied, 34.9 us relayed).
 func BenchmarkEvent(b *testing.B) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,7 +21,7 @@
 // Shares holds the node counts by which limits that apply to all nodes together are
 // divided.
 type Shares struct {
-	Nodes int // nodes that take requests, including this one; 0 until this node knows the others
+	Nodes int // nodes that accept requests, including this one; 0 until the list of nodes has been read
 	Zone  int // how many of them are in this node's zone
 	// IsDispatcher is true if this node chooses groups for all nodes of its zone.
 	IsDispatcher bool
@@ -175,7 +175,7 @@
 
 // balanceRequest returns the inputs of endpoint selection for a request.
 //
-// Before this node knows the other nodes, its budget for cold endpoints is 0: after a
+// Until the list of nodes has been read, the budget for cold endpoints is 0: after a
 // restart of all nodes, each would otherwise spend the budget of all of them.
 func (g *Gateway) balanceRequest(r *Request, tried map[string]bool) balance.Request {
 	shares := g.Shares()
@@ -183,8 +183,8 @@
 	settings := g.Settings()
 	bounds := settings.Bounds
 	zone := max(1, shares.Zone)
-	// The requests per second that a cold endpoint can take, with a margin for nodes
-	// that do not know of each other.
+	// The requests per second that a cold endpoint can handle, with a margin for nodes
+	// that are not in each other's lists yet.
 	cold := coldBudgetShare * (r.Service.ColdPerSecond*bounds.ColdOvershoot + bounds.ColdSlack)
 	if shares.Nodes == 0 {
 		cold = 0
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -213,14 +213,14 @@
 	s := newFixture(t)
 	unknown := s.request(http.MethodGet, "/look/")
 	unknown.Header.Set("Authorization", "Bearer other")
-	alternativeZone := s.request(http.MethodGet, "/nowhere/")
+	noRoute := s.request(http.MethodGet, "/nowhere/")
 	for name, c := range map[string]struct {
 		request *http.Request
 		status  int
 		wait    bool
 	}{
 		"unknown key":           {unknown, http.StatusUnauthorized, false},
-		"no route":              {alternativeZone, http.StatusNotFound, false},
+		"no route":              {noRoute, http.StatusNotFound, false},
 		"no endpoint":           {s.request(http.MethodGet, "/look/"), http.StatusServiceUnavailable, true},
 		"no group of the model": {s.request(http.MethodPost, "/stream/"), http.StatusServiceUnavailable, true},
 	} {
@@ -406,8 +406,8 @@
 }
 
 // A group that lost a member accepts requests but makes no progress. After the stall
-// timeout the stream must resume at another group, or its caller waits until it gives
-// up.
+// timeout the stream must resume at another group; otherwise its caller waits until
+// it times out.
 func TestStalledStreamResumesAtAnotherGroup(t *testing.T) {
 	s := newFixture(t)
 	release := make(chan struct{})
@@ -443,8 +443,8 @@
 	require.Equal(t, wholeStream(2), got.body)
 }
 
-// Two groups reject a stream without executing it. The caller must get 503, not a
-// response that says that the outcome is unknown.
+// Two groups reject a stream without executing it. The caller must get 503, not 502,
+// which would leave open whether it was executed.
 func TestStreamRejectedByTwoGroupsReturns503(t *testing.T) {
 	s := newFixture(t)
 	busy := func(w http.ResponseWriter, r *http.Request) {
--- a/gateway/limit.go
+++ b/gateway/limit.go
@@ -15,7 +15,7 @@
 // the endpoint.
 const maxPermitRequests = 4
 
-// fullLimitShare is the share of a rate limit that a node issues permits from if it
+// fullLimitShare is the share of a rate limit that a node may issue as permits if it
 // is the only one.
 const fullLimitShare = 1
 
@@ -29,7 +29,7 @@
 // withinLimits repeats the choice of an endpoint until the rate limit of the chosen
 // one allows the request.
 //
-// A rate limit bounds the sum over all nodes, and no node knows what the others send.
+// A rate limit bounds the sum over all nodes, and no node sees what the others send.
 // If each node enforced it alone, an overloaded endpoint would get the limit once per
 // node. So one node issues the permits for all, and requests without a permit go
 // elsewhere.
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -51,8 +51,9 @@
 	case placement.Endpoint == "":
 		klog.InfoS("dispatcher_has_no_room", "request", c.r.Info.ID, "predicted", placement.Predicted, "elsewhere", placement.AlternativeZone,
 			"limited_for", placement.LimitedFor)
-		// Without a prediction or a rate limit, the dispatcher knows of no group in
-		// this zone. This node may know of one, since views differ briefly.
+		// A reply with neither a prediction nor a rate limit means that the
+		// dispatcher's view has no group in this zone. Views differ briefly, so the
+		// view of this node may have one.
 		return dispatcherChoice{alternativeZone: placement.AlternativeZone, limitedFor: placement.LimitedFor}, placement.Predicted > 0 || placement.LimitedFor > 0
 	}
 	now := time.Now()
@@ -60,19 +61,19 @@
 	if !usable {
 		return dispatcherChoice{}, false
 	}
-	choice := c.takePlacement(now, placed, req, placement)
+	choice := c.acceptPlacement(now, placed, req, placement)
 	return dispatcherChoice{choice: &choice}, true
 }
 
-// takePlacement returns the choice that another node made for the stream.
-func (c *streamCall) takePlacement(now time.Time, placed *fleet.Endpoint, req balance.Request, placement fleet.Placement) balance.Choice {
+// acceptPlacement returns the choice that another node made for the stream.
+func (c *streamCall) acceptPlacement(now time.Time, placed *fleet.Endpoint, req balance.Request, placement fleet.Placement) balance.Choice {
 	choice := c.g.Tracker.AcceptChoice(now, placed, req, placement.Predicted)
 	return choice.WithPermit(choice.Permitted || placement.Permitted)
 }
 
 // placedEndpoint returns the endpoint of a placement, and whether this node may use
-// it. Where views differ, the view of this node decides: it may know of a group that
-// has become cold or closed since.
+// it. Where views differ, the view of this node decides: it may already show that the
+// group has become cold or closed.
 func (c *streamCall) placedEndpoint(now time.Time, placement fleet.Placement, req balance.Request) (*fleet.Endpoint, bool) {
 	placed, known := c.r.view.Endpoints[placement.Endpoint]
 	return placed, known && !placed.ColdAt(now) && balance.Usable(&req.Service, placed, c.r.view.ZonesOut)
@@ -118,7 +119,7 @@
 			return choice.WithPermit(choice.Permitted || placement.Permitted), nil
 		default:
 			choice.Attempt.Cancel()
-			return c.takePlacement(now, placed, req, placement), nil
+			return c.acceptPlacement(now, placed, req, placement), nil
 		}
 	}
 }
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// A zone offers a group that has become cold, as it does not know that yet. The
+// A zone offers a group that has become cold, because its view is out of date. The
 // request budget of cold groups is divided among the nodes, and a stream sent there
 // would exceed this node's share and could overload the group.
 func TestStreamAvoidsGroupThatTurnedCold(t *testing.T) {
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -45,8 +45,8 @@
 const startupRetryAfter = 300 * time.Millisecond
 
 // noEndpointRefusal returns the refusal of a request for which no endpoint was
-// chosen. A node that has not read any entries yet knows no endpoints, but will soon,
-// so it gets a reason and a shorter Retry-After of its own.
+// chosen. A node that has not read any entries yet will have endpoints soon, so its
+// refusals have a reason of their own and a shorter Retry-After.
 func (g *Gateway) noEndpointRefusal(refused *balance.Refusal) refusal {
 	why := fromBalance(refused)
 	if refused.Reason == balance.NoEndpoint && g.Cache.Read().IsZero() {
--- a/gateway/turned_away_test.go
+++ b/gateway/rejection_test.go
@@ -18,9 +18,9 @@
 // stream is sent there and uses up its last retry.
 func TestRejectingHeadIsAvoided(t *testing.T) {
 	s := newFixture(t)
-	var turnedAway atomic.Int32
+	var rejections atomic.Int32
 	s.endpoint("closed", "llm", func(w http.ResponseWriter, _ *http.Request) {
-		turnedAway.Add(1)
+		rejections.Add(1)
 		platformtest.SetNotExecuted(w)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
@@ -31,7 +31,7 @@
 	for range 10 {
 		require.Equal(t, http.StatusOK, s.do(s.request(http.MethodPost, "/stream/x")).status)
 	}
-	require.Equal(t, int32(1), turnedAway.Load())
+	require.Equal(t, int32(1), rejections.Load())
 }
 
 // A node that has just started and has read no entries yet must send a shorter
--- a/gateway/silence.go
+++ b/gateway/stall.go
@@ -11,13 +11,13 @@
 // and the stream can resume at another group. The returned function stops the watch.
 //
 // A group that lost a member makes no progress for seconds, while its callers
-// disconnect after 2 s. But a response is never cancelled only because it is slow: if
-// no other group can continue it, the stream waits.
+// disconnect after 2 s. A stream that no other group can continue is not cancelled,
+// since it may only be slow.
 func (c *streamCall) watchStall(choice balance.Choice, cancel func()) func() {
-	w := &stallWatch{call: c, choice: choice, cancel: cancel, limit: c.stallTimeout()}
+	w := &stallWatch{call: c, choice: choice, cancel: cancel, timeout: c.stallTimeout()}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(w.limit, w.check)
+	w.timer = time.AfterFunc(w.timeout, w.check)
 	return w.stop
 }
 
@@ -27,7 +27,7 @@
 	call     *streamCall
 	choice   balance.Choice
 	cancel   func()
-	limit    time.Duration
+	timeout  time.Duration
 	timer    *time.Timer
 	stopped  bool
 	reported bool
@@ -40,8 +40,8 @@
 		return
 	}
 	now := time.Now()
-	if silent := w.choice.Attempt.TimeWithoutEvent(now); silent < w.limit {
-		w.timer.Reset(max(stallCheckInterval, w.limit-silent))
+	if silent := w.choice.Attempt.TimeWithoutEvent(now); silent < w.timeout {
+		w.timer.Reset(max(stallCheckInterval, w.timeout-silent))
 		return
 	}
 	if !w.reported {
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -8,15 +8,15 @@
 )
 
 // startupWait is how long after the start of a node requests wait for its first
-// reads. It is longer than these take while the store responds.
+// reads of the store. While the store responds, these finish sooner.
 const startupWait = time.Second
 
 // awaitStartup waits until known is closed, but no longer than startupWait after the
 // start of this node. It reports whether known is closed.
 //
-// After a simultaneous restart of all nodes, the first callers have mostly been
-// refused or cut off before and have no attempt left. A refusal for data that the
-// node reads a moment later would leave them without any response.
+// After a simultaneous restart of all nodes, most of the first callers have already
+// been refused or cut off and have no attempt left. Refusing them because of data
+// that the node reads a moment later would leave them without any response.
 func (g *Gateway) awaitStartup(ctx context.Context, now time.Time, known <-chan struct{}) bool {
 	left := startupWait - now.Sub(g.started)
 	if left <= 0 {
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -49,9 +49,9 @@
 	require.Less(t, time.Since(began), 500*time.Millisecond)
 }
 
-// All nodes have just started, and none knows the others. If each took itself for the
-// only node, the request budget of cold endpoints and the shared retries would be
-// spent once per node.
+// All nodes have just started, and none has read the list of nodes. If each assumed
+// that it is the only one, the request budget of cold endpoints and the shared retries
+// would be spent once per node.
 func TestNodeWithoutPeersSpendsNoSharedBudget(t *testing.T) {
 	s := newFixture(t)
 	s.shares = gateway.Shares{Zone: 1}
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -27,8 +27,8 @@
 // progress of the boot clock and of the monotonic clock.
 //
 // The monotonic clock stands still while the VM is suspended, but the operator's
-// grace period goes on. A stop measured by that clock alone would accept requests
-// that it can't finish, and would be killed with them.
+// grace period goes on. A node that measured its stop by that clock alone would
+// accept requests that it can't finish, and would be killed while serving them.
 func (s Stop) AdjustForSuspend(now, boot time.Time) Stop {
 	if !s.Active() || s.Boot.IsZero() {
 		return s
@@ -50,14 +50,14 @@
 )
 
 // Accepts reports whether the node accepts a request that is expected to take at most
-// the given time (0: unknown) and that ends by its deadline at the latest.
+// the given time (0 if unknown) and that ends by its deadline at the latest.
 //
-// A stopping node that accepts a request it can't finish cuts it off when the grace
-// period ends, and the caller gets a truncated response. Callers keep using their
-// open connections whatever the load balancer does with new ones, so a node that only
-// waited for the load balancer would accept requests until it exits. An accepted
-// request therefore either has a deadline before the end, or is expected to finish in
-// time, judged by the longest response that it may get.
+// A request that can't finish is cut off when the grace period ends, and its caller
+// gets a truncated response. Callers keep using their open connections whatever the
+// load balancer does with new ones, so a node that only waited for the load balancer
+// would accept requests until it exits. An accepted request therefore either has a
+// deadline before the end, or is expected to finish in time, judged by the longest
+// response that it may get.
 func (s Stop) Accepts(now time.Time, expected time.Duration, deadline time.Time) bool {
 	if !s.Active() || !deadline.After(s.End) {
 		return true
--- a/gateway/stop_expected_test.go
+++ b/gateway/stop_expected_test.go
@@ -14,10 +14,10 @@
 )
 
 // A service answers look-ups at once and bookings in two seconds. A node with 1.5 s
-// left must refuse a booking: it would cut it off when it exits, and the caller must
-// not repeat it and doesn't know whether it was executed. This happens if the
-// duration of a call is predicted from the mean of all calls to its endpoint, most of
-// which are look-ups.
+// left must refuse a booking. Otherwise it cuts the booking off at its exit, and the
+// caller can't tell whether it was executed and must not repeat it. This happens if
+// the duration of a call is predicted from the mean of all calls to its endpoint, most
+// of which are look-ups.
 func TestStoppingGatewayPredictsDurationByRoute(t *testing.T) {
 	t.Parallel()
 	s := newFixture(t)
@@ -32,20 +32,20 @@
 		}
 		sign(w, r)
 	})
-	ask := func(path, id string) response {
+	send := func(path, id string) response {
 		r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), path, nil, platformtest.RequestInfo{
 			ID: id, Key: "key-1", Timeout: 3 * time.Second,
 		})
 		require.NoError(t, err)
 		return s.do(r)
 	}
-	require.Equal(t, http.StatusOK, ask("/book/x", "early").status)
+	require.Equal(t, http.StatusOK, send("/book/x", "early").status)
 	for range 40 {
-		require.Equal(t, http.StatusOK, ask("/look/x", "look").status)
+		require.Equal(t, http.StatusOK, send("/look/x", "look").status)
 	}
 	now := time.Now()
 	s.stop = gateway.Stop{Begun: now.Add(-4 * time.Second), Noticed: now.Add(-2 * time.Second), End: now.Add(1500 * time.Millisecond)}
-	got := ask("/book/x", "late")
+	got := send("/book/x", "late")
 	require.Zero(t, late.Load(), "a booking takes %s, and the node had 1.5 s", bookingTime)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 }
--- a/gateway/stop_retry_test.go
+++ b/gateway/stop_retry_test.go
@@ -47,17 +47,17 @@
 			}
 			s.endpoint("one", one.service, handler)
 			s.endpoint("other", one.service, handler)
-			ask := func(id string) response {
+			send := func(id string) response {
 				r, err := platformtest.NewRequest(context.Background(), http.MethodPost, s.server.Listener.Addr().String(), one.path, nil, platformtest.RequestInfo{
 					ID: id, Key: "key-1", Model: "m0", Timeout: 3 * time.Second, Prompt: 100, Answer: 60,
 				})
 				require.NoError(t, err)
 				return s.do(r)
 			}
-			require.Equal(t, http.StatusOK, ask("earlier").status, "a stopping node accepts no call of a route without a recorded duration")
+			require.Equal(t, http.StatusOK, send("earlier").status, "a stopping node accepts no call of a route without a recorded duration")
 			now := time.Now()
 			s.stop = gateway.Stop{Begun: now.Add(-4 * time.Second), Noticed: now.Add(-2 * time.Second), End: now.Add(one.left)}
-			got := ask("r-1")
+			got := send("r-1")
 			require.EqualValues(t, 1, tries.Load(), "the retry began with less time left than it is expected to take")
 			require.Equal(t, http.StatusServiceUnavailable, got.status)
 		})
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -26,7 +26,7 @@
 	for _, one := range []struct {
 		name               string
 		at, expected, left time.Duration
-		takes              bool
+		accepts            bool
 	}{
 		{"at once, with time enough", 0, 4 * time.Second, long, true},
 		{"at once, of unknown length", 0, 0, long, false},
@@ -40,14 +40,14 @@
 		{"at the end", 7 * time.Second, time.Millisecond, long, false},
 	} {
 		now := begun.Add(one.at)
-		require.Equal(t, one.takes, stop.Accepts(now, one.expected, now.Add(one.left)), one.name)
+		require.Equal(t, one.accepts, stop.Accepts(now, one.expected, now.Add(one.left)), one.name)
 	}
 	require.True(t, gateway.Stop{}.Accepts(begun, 0, begun.Add(long)), "no planned stop")
 }
 
 // A VM is suspended for two seconds while its node stops, and the operator's grace
 // period goes on. Measured by the monotonic clock the node would have two seconds
-// more than it really has, accept a stream, and be killed with it.
+// more than it really has, accept a stream, and be killed while serving it.
 func TestStopCountsSuspendedTime(t *testing.T) {
 	t.Parallel()
 	begun, boot := time.Unix(1000, 0), time.Unix(50, 0)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -99,7 +99,7 @@
 
 // stallTimeout returns how long the endpoint may make no progress before the stream
 // resumes elsewhere. For plain services it is derived from the route's pause
-// objective, as nothing else is known of their pace.
+// objective, as they have no engine parameters from which to predict pauses.
 func (c *streamCall) stallTimeout() time.Duration {
 	if c.r.Service.Engine != nil {
 		return minStallTimeout
--- a/gateway/upstream.go
+++ b/gateway/upstream.go
@@ -165,7 +165,7 @@
 	if !strings.HasPrefix(target, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: target}
 	}
-	// net/http would take the first part of such a path for a host.
+	// net/http would parse the first segment of such a path as a host.
 	u, err := url.ParseRequestURI(target)
 	if err != nil {
 		return &url.URL{Scheme: "http", Host: address, Path: target}
