--- a/admit/gate.go
+++ b/admit/gate.go
@@ -63,7 +63,7 @@
 	return &Gate[T]{acquireSlot: acquireSlot, queues: map[string]*queue[T]{}}
 }
 
-// Acquire returns a slot, or a refusal. It waits until ctx is done at most, and
+// Acquire returns a slot, or a refusal. It waits no longer than until ctx is done, and
 // refuses at once if the queue is full or if the expected wait exceeds the time until
 // the deadline of ctx.
 func (g *Gate[T]) Acquire(ctx context.Context, now time.Time, account redwinghall.ClientAccount) (T, error) {
@@ -165,8 +165,8 @@
 	return g.waiting
 }
 
-// RetryAfter returns the time in which the present queue will drain at the recent
-// service rate, at least one second.
+// RetryAfter returns the time in which the waiting requests will be served at the
+// recent service rate, at least one second.
 func (g *Gate[T]) RetryAfter(now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -13,10 +13,10 @@
 	"redwinghall/kernel"
 )
 
-// slots is a source of slots.
+// slots counts the free slots. Its method acquire supplies a gate with them.
 type slots struct{ free int }
 
-func (r *slots) take() (int, bool) {
+func (r *slots) acquire() (int, bool) {
 	if r.free == 0 {
 		return 0, false
 	}
@@ -54,7 +54,7 @@
 func TestFloodingAccountDoesNotStarveAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
-		gate := admit.NewGate(r.take)
+		gate := admit.NewGate(r.acquire)
 		g := kernel.NewGroup(t.Context())
 		var order []string
 		startWaiters(g, gate, account("flood", 1, 1000), 100, &order)
@@ -81,7 +81,7 @@
 func TestWeightsDivideSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
-		gate := admit.NewGate(r.take)
+		gate := admit.NewGate(r.acquire)
 		g := kernel.NewGroup(t.Context())
 		var order []string
 		startWaiters(g, gate, account("heavy", 3, 1000), 40, &order)
@@ -107,7 +107,7 @@
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
-		gate := admit.NewGate(r.take)
+		gate := admit.NewGate(r.acquire)
 		g := kernel.NewGroup(t.Context())
 		var order []string
 		startWaiters(g, gate, account("a", 1, 3), 3, &order)
@@ -133,7 +133,7 @@
 func TestRequestThatCannotMeetItsDeadlineIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
-		gate := admit.NewGate(r.take)
+		gate := admit.NewGate(r.acquire)
 		g := kernel.NewGroup(t.Context())
 		var order []string
 		a := account("a", 1, 1000)
@@ -162,7 +162,7 @@
 func TestIdleTimeIsNoServiceTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
-		gate := admit.NewGate(r.take)
+		gate := admit.NewGate(r.acquire)
 		a := account("a", 1, 10)
 		for range 50 {
 			r.free = 1
@@ -189,7 +189,7 @@
 func TestTimedOutRequestDoesNotSkewServiceRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &slots{}
-		gate := admit.NewGate(r.take)
+		gate := admit.NewGate(r.acquire)
 		a := account("a", 1, 100)
 		g := kernel.NewGroup(t.Context())
 		var order []string
