--- a/node/era_test.go
+++ b/node/era_test.go
@@ -41,7 +41,7 @@
 }
 
 // A restored store assigns versions below those that nodes have already read. Nodes
-// must still follow its changes, and not only through full lists.
+// must still apply its changes, without listing the tables again and again.
 func TestChangesAfterStoreRestoreAreFollowed(t *testing.T) {
 	for name, nodes := range map[string]map[string]int{"each reads": {"a": 2, "b": 1}, "one reads for all": {"a": 5}} {
 		t.Run(name, func(t *testing.T) {
@@ -66,8 +66,8 @@
 // recoveryBound is how long requests may fail after all nodes have restarted.
 const recoveryBound = 12 * time.Second
 
-// The store is restored from an older copy and all nodes restart, so they know only what
-// the copy holds. They must serve again in time, from groups that are still complete.
+// The store is restored from an older copy and all nodes restart, so the copy is all that
+// they can read. They must serve again in time, from groups that are still complete.
 func TestAllNodesRestartAfterStoreRestore(t *testing.T) {
 	z := deployZones(t, map[string]int{"a": 4})
 	z.restoreStore(t)
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -38,7 +38,7 @@
 // deployZones starts the given number of nodes in each zone and waits until all of them serve.
 func deployZones(t *testing.T, nodes map[string]int) *zonedDeployment {
 	t.Helper()
-	store, ledger := platformtest.NewStore(), platformtest.NewRunCounter()
+	store, runCounter := platformtest.NewStore(), platformtest.NewRunCounter()
 	t.Cleanup(store.Close)
 	require.NoError(t, store.Put("op", "config", platformtest.Configuration(1, "key-1")))
 	z := &zonedDeployment{heads: map[string][]*platformtest.Endpoint{}}
@@ -47,9 +47,9 @@
 		zones = append(zones, zone)
 	}
 	for zone, count := range nodes {
-		z.endpoints(t, store, ledger, zone)
+		z.endpoints(t, store, runCounter, zone)
 		for i := range count {
-			z.nodes = append(z.nodes, startNode(t, store, ledger, fmt.Sprintf("%s-%d", zone, i), zone, zones))
+			z.nodes = append(z.nodes, startNode(t, store, runCounter, fmt.Sprintf("%s-%d", zone, i), zone, zones))
 		}
 	}
 	for _, d := range z.nodes {
@@ -62,10 +62,10 @@
 }
 
 // endpoints adds the engines of two groups and two desk endpoints to a zone.
-func (z *zonedDeployment) endpoints(t *testing.T, store *platformtest.Store, ledger *platformtest.RunCounter, zone string) {
+func (z *zonedDeployment) endpoints(t *testing.T, store *platformtest.Store, runCounter *platformtest.RunCounter, zone string) {
 	t.Helper()
 	add := func(config platformtest.EndpointConfig) *platformtest.Endpoint {
-		e, err := platformtest.NewEndpoint(config, store, ledger)
+		e, err := platformtest.NewEndpoint(config, store, runCounter)
 		require.NoError(t, err)
 		t.Cleanup(e.Close)
 		return e
@@ -81,9 +81,9 @@
 	}
 }
 
-func startNode(t *testing.T, store *platformtest.Store, ledger *platformtest.RunCounter, name, zone string, zones []string) *deployment {
+func startNode(t *testing.T, store *platformtest.Store, runCounter *platformtest.RunCounter, name, zone string, zones []string) *deployment {
 	t.Helper()
-	d := &deployment{t: t, store: store, ledger: ledger, done: make(chan error, 1)}
+	d := &deployment{t: t, store: store, runCounter: runCounter, done: make(chan error, 1)}
 	host := fmt.Sprintf("127.%d.%d.%d", 10+os.Getpid()%100, 1+os.Getpid()/100%250, hosts.Add(1))
 	free := freeAddresses(t, host, 3)
 	d.settings = platformtest.NodeSettings{
@@ -137,8 +137,8 @@
 // limitSettleTime is how long the nodes may take to enforce a newly announced limit together.
 const limitSettleTime = time.Second
 
-// An endpoint announces a low request limit. Each node that applies the limit on its own
-// would let the sum over all nodes exceed it.
+// An endpoint announces a low request limit. If each node applied it on its own, the sum
+// over all nodes would exceed it.
 func TestLimitOfAnEndpointHoldsOverAllNodes(t *testing.T) {
 	const perSecond = 1.0
 	for name, nodes := range map[string]map[string]int{
--- a/node/neighbors.go
+++ b/node/neighbors.go
@@ -20,16 +20,16 @@
 // filled up since the last report.
 const zoneInterval = 250 * time.Millisecond
 
-// sameValue returns how the row values of a table are compared. It returns nil for
-// the members' table, where every write counts as it shows that a node is alive.
-func sameValue(table string) relay.EqualValues {
+// equalFor returns the comparison of a table's row values. It returns nil for the
+// members' table, where every write counts because it shows that a node is alive.
+func equalFor(table string) relay.EqualValues {
 	if table == platform.TableEndpoints {
 		return platform.EqualEntries
 	}
 	return nil
 }
 
-// leader returns the name of the node that forms this zone's groups, or "" if it is unknown.
+// leader returns the name of the node that holds this zone's lease, or "" if it is unknown.
 func (n *Node) leader() string {
 	holder, _ := n.table.Holder(n.settings.Zone)
 	return holder.Name
@@ -86,9 +86,9 @@
 	}
 }
 
-// reportStalled tells the lease holder of an endpoint's zone that the endpoint's group makes
-// little progress.
-func (n *Node) reportStalled(endpointID string) {
+// reportStall reports to the lease holder of an endpoint's zone that the endpoint's group
+// makes little progress.
+func (n *Node) reportStall(endpointID string) {
 	e, ok := n.cache.View().Endpoints[endpointID]
 	if !ok {
 		return
--- a/node/node.go
+++ b/node/node.go
@@ -78,7 +78,7 @@
 		backoff: relay.NewPeerBackoff(dispatcherMinBackoff, dispatcherMaxBackoff),
 	}
 	n.source = relay.NewSource(relay.Config{
-		Store: store, PeerClient: n.neighbors, Self: s.Node, Peers: n.peers, RemotePeers: n.remotePeers, Leader: n.leader, EqualFor: sameValue,
+		Store: store, PeerClient: n.neighbors, Self: s.Node, Peers: n.peers, RemotePeers: n.remotePeers, Leader: n.leader, EqualFor: equalFor,
 	})
 	n.current.Store(&s)
 	n.table = members.NewTable(members.Config{
@@ -97,7 +97,7 @@
 	n.gateway = gateway.New(gateway.Options{
 		Settings: n.currentSettings, Cache: n.cache, Tracker: n.tracker, Upstream: n.upstream, Metrics: n.metrics,
 		Shares:       n.shares,
-		ReportStall:  n.reportStalled,
+		ReportStall:  n.reportStall,
 		Placer:       newZonePlacer(n),
 		PermitIssuer: permitIssuer{n},
 		Stopping:     n.plannedStop,
@@ -140,7 +140,7 @@
 	n.startZoneSharing(g)
 	g.Every("slow_groups", slowInterval, func(_ context.Context, now time.Time) {
 		for _, id := range n.tracker.SlowEndpoints(now) {
-			n.reportStalled(id)
+			n.reportStall(id)
 		}
 	})
 	g.Every("forget", forgetInterval, func(_ context.Context, now time.Time) { n.tracker.Forget(now) })
@@ -158,7 +158,7 @@
 	return err
 }
 
-// shares returns this node's share of the limits that all nodes have in common.
+// shares returns the node counts by which limits that apply to all nodes together are divided.
 func (n *Node) shares() gateway.Shares {
 	if !n.knowsMembers() {
 		return gateway.Shares{Zone: 1}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -24,14 +24,14 @@
 
 // deployment is one node with a fake store and fake endpoints.
 type deployment struct {
-	t        *testing.T
-	store    *platformtest.Store
-	ledger   *platformtest.RunCounter
-	engines  []*platformtest.Endpoint
-	settings platformtest.NodeSettings
-	path     string
-	stop     context.CancelFunc
-	done     chan error
+	t          *testing.T
+	store      *platformtest.Store
+	runCounter *platformtest.RunCounter
+	engines    []*platformtest.Endpoint
+	settings   platformtest.NodeSettings
+	path       string
+	stop       context.CancelFunc
+	done       chan error
 }
 
 const answerEvents = 5
@@ -72,7 +72,7 @@
 // and whose booking desk takes the time given by desk.
 func deployWith(t *testing.T, engine, desk platformtest.EndpointConfig) *deployment {
 	t.Helper()
-	d := &deployment{t: t, store: platformtest.NewStore(), ledger: platformtest.NewRunCounter(), done: make(chan error, 1)}
+	d := &deployment{t: t, store: platformtest.NewStore(), runCounter: platformtest.NewRunCounter(), done: make(chan error, 1)}
 	t.Cleanup(d.store.Close)
 	require.NoError(t, d.store.Put("op", "config", platformtest.Configuration(1, "key-1")))
 	for i := range 3 {
@@ -94,7 +94,7 @@
 }
 
 func (d *deployment) add(config platformtest.EndpointConfig) {
-	e, err := platformtest.NewEndpoint(config, d.store, d.ledger)
+	e, err := platformtest.NewEndpoint(config, d.store, d.runCounter)
 	require.NoError(d.t, err)
 	d.t.Cleanup(e.Close)
 	if config.Engine {
@@ -124,12 +124,12 @@
 }
 
 func (d *deployment) ready() bool {
-	answer, err := http.Get("http://" + d.settings.ReadinessAddress + platform.PathReadiness)
+	response, err := http.Get("http://" + d.settings.ReadinessAddress + platform.PathReadiness)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = answer.Body.Close() }() // the body isn't read
-	return answer.StatusCode == http.StatusOK
+	defer func() { _ = response.Body.Close() }() // the body isn't read
+	return response.StatusCode == http.StatusOK
 }
 
 // waitOpen waits until a group is open.
@@ -167,16 +167,16 @@
 // send returns the response that a caller receives. The status is 0 if the response is
 // missing or incomplete.
 func (d *deployment) send(client *http.Client, r *http.Request) (status int, body string) {
-	answer, err := client.Do(r)
+	response, err := client.Do(r)
 	if err != nil {
 		return 0, ""
 	}
-	defer func() { _ = answer.Body.Close() }() // the body was read or the read failed
-	data, err := io.ReadAll(answer.Body)
+	defer func() { _ = response.Body.Close() }() // the body was read or the read failed
+	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, string(data)
 	}
-	return answer.StatusCode, string(data)
+	return response.StatusCode, string(data)
 }
 
 func TestNodeServesStreamsAndBookings(t *testing.T) {
@@ -190,7 +190,7 @@
 	status, body = d.ask(http.MethodPost, "/book/x", "book-1")
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "done book-1", body)
-	require.Equal(t, 1, d.ledger.Runs("book-1"))
+	require.Equal(t, 1, d.runCounter.Runs("book-1"))
 	metrics, err := http.Get(fmt.Sprintf("http://%s:%d%s", d.settings.IP, node.MetricsPort, node.MetricsPath))
 	require.NoError(t, err)
 	data, err := io.ReadAll(metrics.Body)
@@ -255,7 +255,7 @@
 				mu.Lock()
 				if status == http.StatusOK && body == platformtest.FullResponse(id, answerEvents) {
 					answered++
-				} else if d.ledger.Runs(id) > 0 {
+				} else if d.runCounter.Runs(id) > 0 {
 					broken++
 				}
 				mu.Unlock()
--- a/node/permit.go
+++ b/node/permit.go
@@ -42,9 +42,9 @@
 
 // issuePermit returns a permit for one request to an endpoint of a zone.
 //
-// A node that has just started knows no other nodes and would rank itself first. If all
+// A node that has just started lists only itself and would rank itself first. If all
 // nodes started together, each of them would issue permits for the whole limit. So a node
-// issues none before it knows the others.
+// issues none until it has read the list of nodes.
 func (n *Node) issuePermit(now time.Time, zone string, known balance.LimitReport) balance.Permit {
 	share := n.permitShare(zone)
 	if share == 0 {
@@ -69,9 +69,9 @@
 	if !n.knowsMembers() {
 		return 0
 	}
-	for place, one := range n.permitIssuers(zone) {
+	for rank, one := range n.permitIssuers(zone) {
 		if one.Name == n.settings.Node {
-			return balance.PermitShare(place)
+			return balance.PermitShare(rank)
 		}
 	}
 	return 0
--- a/node/placement.go
+++ b/node/placement.go
@@ -98,21 +98,21 @@
 		n.tracker.RecordFailureReport(now, id, request.Node)
 	}
 	heads := view.Heads(request.Service, request.Model)
-	ask := balance.Request{
+	req := balance.Request{
 		Service: service, Model: model, Zone: n.settings.Zone, Prompt: request.Prompt, Objective: request.Objective, Tried: tried,
 		Node: n.settings.Node, Nodes: len(n.table.Nodes()), ZoneNodes: len(n.peers()), IsDispatcher: n.dispatches(now), Resumed: request.Resumed,
 		PermitShare: n.permitShare(n.settings.Zone),
 	}
-	choice, none := n.tracker.Reserve(now, heads, view.ZonesOut, ask, balance.Requester{Node: request.Node, Ticket: request.Ticket})
-	if none == nil {
+	choice, refused := n.tracker.Reserve(now, heads, view.ZonesOut, req, balance.Requester{Node: request.Node, Ticket: request.Ticket})
+	if refused == nil {
 		return fleet.Placement{Endpoint: choice.Endpoint.ID, Predicted: choice.Predicted, Permitted: choice.Permitted}, true
 	}
-	placement := fleet.Placement{Predicted: none.Predicted}
-	if none.Reason == balance.Limited {
-		placement.LimitedFor = none.RetryAfter
+	placement := fleet.Placement{Predicted: refused.Predicted}
+	if refused.Reason == balance.Limited {
+		placement.LimitedFor = refused.RetryAfter
 	}
-	if request.Ticket > 0 { // otherwise the request is from another zone, whose node asks the other zones itself
-		placement.AlternativeZone = n.tracker.AlternativeZone(now, heads, view.ZonesOut, ask)
+	if request.Ticket > 0 { // otherwise the requesting node is in another zone and asks the remaining zones itself
+		placement.AlternativeZone = n.tracker.AlternativeZone(now, heads, view.ZonesOut, req)
 	}
 	return placement, true
 }
--- a/node/sharing.go
+++ b/node/sharing.go
@@ -52,7 +52,7 @@
 
 func (s *sharer) share(ctx context.Context, now time.Time) {
 	n := s.node
-	// Settled is read first, so that the loads include every settled ticket.
+	// The lowest open ticket is read first, so that the loads include every ticket below it.
 	report := neighbor.LoadReport{
 		Node: n.settings.Node, Settled: n.tracker.Tickets.LowestOpen(), Loads: n.tracker.OwnLoads(now), Limits: n.tracker.OwnLimitReports(now),
 	}
@@ -94,8 +94,8 @@
 // exchange sends a load report to the collecting node and applies its response.
 func (s *sharer) exchange(ctx context.Context, now time.Time, peer relay.Peer, report neighbor.LoadReport) {
 	n := s.node
-	_, dispatched := n.dispatcher(now, n.settings.Zone)
-	report.WithOthers = !dispatched || now.Sub(s.othersReceivedAt) >= othersInterval
+	_, hasDispatcher := n.dispatcher(now, n.settings.Zone)
+	report.WithOthers = !hasDispatcher || now.Sub(s.othersReceivedAt) >= othersInterval
 	report.WithZones = n.tracker.ConsidersOtherZones(now) && now.Sub(s.zonesReceivedAt) >= zonesInterval
 	report.WithLimits = peer.Name != s.limitsFrom
 	shared, err := n.neighbors.Share(ctx, peer.Address, report)
--- a/node/stop.go
+++ b/node/stop.go
@@ -64,7 +64,7 @@
 	klog.InfoS("node_takes_no_connections", "node", n.settings.Node, "stopping_for", time.Since(begun))
 	kernel.Sleep(ctx, stopPollInterval)
 	// Idle connections stay open until now: closing one may race with a request on it,
-	// which its caller would then believe to be running.
+	// whose caller could then not tell whether it was executed.
 	for !n.conns.closeIfInactive(time.Now()) && n.waitStopPoll(ctx) {
 	}
 	n.conns.logInterrupted(time.Now())
--- a/node/stop_connections_test.go
+++ b/node/stop_connections_test.go
@@ -15,7 +15,7 @@
 	"redwinghall/platform/platformtest"
 )
 
-// A node is told to stop while two streams run, the second for over a second longer.
+// A node gets the signal to stop while two streams run, the second for over a second longer.
 // Requests that still arrive, on a new connection or on an idle one, must get a response
 // with "Connection: close", not a refused or closed connection. The first stream's
 // headers were sent before the signal; its connection must be closed right after it,
@@ -51,7 +51,7 @@
 	require.NoError(t, <-d.done)
 }
 
-// callerConn is a raw caller connection, which sends only the requests it is told to.
+// callerConn is a raw connection of a caller, without the retries of an HTTP client.
 type callerConn struct {
 	d      *deployment
 	conn   net.Conn
@@ -74,13 +74,13 @@
 	})
 	require.NoError(c.d.t, err)
 	require.NoError(c.d.t, r.Write(c.conn))
-	answer, err := http.ReadResponse(c.reader, r)
+	response, err := http.ReadResponse(c.reader, r)
 	require.NoError(c.d.t, err, id)
-	_, err = io.ReadAll(answer.Body)
+	_, err = io.ReadAll(response.Body)
 	require.NoError(c.d.t, err, id)
-	require.NoError(c.d.t, answer.Body.Close())
-	require.Equal(c.d.t, http.StatusOK, answer.StatusCode, id)
-	return answer
+	require.NoError(c.d.t, response.Body.Close())
+	require.Equal(c.d.t, http.StatusOK, response.StatusCode, id)
+	return response
 }
 
 // requireEnd requires that the node closes the connection by latest, without a further request.
--- a/node/stop_grace_test.go
+++ b/node/stop_grace_test.go
@@ -19,8 +19,8 @@
 	require.NoError(d.t, os.WriteFile(d.path, []byte(text), 0o600))
 }
 
-// stopTakes stops the node and returns how long the stop took.
-func (d *deployment) stopTakes() time.Duration {
+// stopDuration stops the node and returns how long the stop took.
+func (d *deployment) stopDuration() time.Duration {
 	d.t.Helper()
 	stopped := time.Now()
 	d.stop()
@@ -38,17 +38,17 @@
 	d.start()
 	d.waitOpen()
 	d.store.SetFaults(platformtest.Faults{Silent: true})
-	require.Less(t, d.stopTakes(), time.Second)
+	require.Less(t, d.stopDuration(), time.Second)
 }
 
 // Operators shorten the grace period in the settings file and stop the node right away.
 // If the file is read only every few seconds and on SIGHUP, but not when the stop begins,
-// the node stops by the old grace period: it accepts requests for too long and is killed.
+// the node uses the old grace period: it accepts requests for too long and is killed.
 func TestStopKeepsTheGraceOfTheSettingsFile(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	d.start()
 	d.waitOpen()
 	d.withGrace("2")
-	require.Less(t, d.stopTakes(), 2*time.Second)
+	require.Less(t, d.stopDuration(), 2*time.Second)
 }
--- a/node/stop_answer_test.go
+++ b/node/stop_response_test.go
@@ -12,9 +12,9 @@
 	"redwinghall/platform/platformtest"
 )
 
-// A booking is running when its node is told to stop. If "Connection: close" is decided
-// when the request arrives rather than when the response headers are sent, the response,
-// over a second after the signal, lacks the header although the node closes the
+// A booking is running when its node gets the signal to stop. If "Connection: close" is
+// decided when the request arrives rather than when the response headers are sent, the
+// response, over a second after the signal, lacks the header although the node closes the
 // connection right after it. The caller then sends its next booking on that connection
 // and gets no response.
 func TestResponseInProgressAtStopHasConnectionClose(t *testing.T) {
@@ -32,10 +32,10 @@
 		d.stop()
 		return nil
 	})
-	answer, err := (&http.Client{Transport: &http.Transport{}}).Do(r)
+	response, err := (&http.Client{Transport: &http.Transport{}}).Do(r)
 	require.NoError(t, err)
-	require.NoError(t, answer.Body.Close())
+	require.NoError(t, response.Body.Close())
 	require.NoError(t, stopping.Wait())
-	require.Equal(t, http.StatusOK, answer.StatusCode)
-	require.True(t, answer.Close, "the response headers were sent 1 s after the signal, without Connection: close")
+	require.Equal(t, http.StatusOK, response.StatusCode)
+	require.True(t, response.Close, "the response headers were sent 1 s after the signal, without Connection: close")
 }
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -38,10 +38,10 @@
 
 // stopAttempt is the result of one request as its caller saw it.
 type stopAttempt struct {
-	id     string
-	sent   time.Time
-	status int
-	whole  bool
+	id       string
+	sent     time.Time
+	status   int
+	complete bool
 }
 
 func newStopCaller(d *deployment, name, path string, pause time.Duration) *stopCaller {
@@ -54,7 +54,7 @@
 	defer c.client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
 		a := stopAttempt{id: fmt.Sprintf("%s-%d", c.name, n), sent: time.Now()}
-		a.status, a.whole = c.ask(ctx, a.id)
+		a.status, a.complete = c.ask(ctx, a.id)
 		c.mu.Lock()
 		c.seen = append(c.seen, a)
 		c.mu.Unlock()
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (c *stopCaller) ask(ctx context.Context, id string) (status int, whole bool) {
+func (c *stopCaller) ask(ctx context.Context, id string) (status int, complete bool) {
 	r, err := platformtest.NewRequest(ctx, http.MethodPost, c.d.settings.CallerAddress, c.path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Timeout: 8 * time.Second, Prompt: 100, Answer: longTokens,
 	})
@@ -87,9 +87,9 @@
 	defer c.mu.Unlock()
 	for _, a := range c.seen {
 		switch {
-		case a.status == http.StatusOK && a.whole:
+		case a.status == http.StatusOK && a.complete:
 			served++
-		case c.d.ledger.Runs(a.id) > 0:
+		case c.d.runCounter.Runs(a.id) > 0:
 			cut = append(cut, fmt.Sprintf("%s, sent %s after the signal: status %d", a.id, a.sent.Sub(stopped).Round(time.Millisecond), a.status))
 		}
 	}
@@ -99,10 +99,10 @@
 // Callers keep using their open connections during a stop, whatever the load balancer
 // does with new ones. A stopping node that accepts their requests up to its end cuts them
 // off when its grace period is over: callers see truncated streams and bookings without a
-// response, for requests sent seconds after the signal. Nearly all requests that a stop
-// cut off had come on reused connections (request_while_stopping and cut_by_stop in the
-// logs), at a constant rate until the node closed idle connections, and right after a
-// response even later.
+// response, for requests sent seconds after the signal. By the log events
+// request_while_stopping and cut_by_stop, nearly all requests that a stop cuts off arrive
+// on reused connections: at a constant rate until the node closes idle connections, and
+// even later right after a response.
 func TestStoppingNodeRefusesWhatItCannotFinish(t *testing.T) {
 	t.Parallel()
 	d := deployWith(t, platformtest.EndpointConfig{Event: longPause, Events: longEvents}, platformtest.EndpointConfig{Work: slowWork})
