--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -54,8 +54,8 @@
 	require.False(t, ok)
 }
 
-// If an older configuration that is read after a newer one took effect, a revoked API key
-// would work again for a while. Versions only increase.
+// An older configuration may be read after a newer one. If it took effect, a revoked API
+// key would work again for a while. Versions only increase.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	cache := directory.NewCache()
 	newer := config(5)
@@ -67,7 +67,7 @@
 }
 
 // Entries lapse during a store outage, and endpoints rewrite them within 2 s after it.
-// Without a grace, half of the endpoints were dropped at the end of an outage. Only an
+// Without a grace, half of the endpoints would be dropped at the end of an outage. Only an
 // endpoint that is still missing after the grace is gone.
 func TestEntriesThatLapsedInAnOutageMayComeBack(t *testing.T) {
 	cache := directory.NewCache()
@@ -258,8 +258,8 @@
 }
 
 // 3,000 endpoints write every 1.2 s. A node that read one page of changes per interval
-// fell behind by 3 s in every 4. Its lease holder didn't see that its orders were carried
-// out, and sent each of them again, eleven times.
+// would fall behind by 3 s in every 4. A lease holder would not see that its orders were
+// carried out, and would send each of them again, eleven times.
 func TestFollowerKeepsUpWithABusyTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &busyStore{started: time.Now(), perSecond: 2500}
@@ -275,7 +275,7 @@
 	})
 }
 
-// relayedStore is a store whose changes are relayedStore by another node.
+// relayedStore is a store whose changes are relayed by another node.
 type relayedStore struct{ fakeStore }
 
 func (s *relayedStore) Changes(ctx context.Context, table string, after fleet.Position, wait time.Duration) (fleet.Rows, error) {
--- a/directory/era_test.go
+++ b/directory/era_test.go
@@ -49,8 +49,8 @@
 }
 
 // One endpoint is draining, another is gone, and a zone is taken out; then the store is
-// restored from a copy from before that. Nothing of it may be undone until it is written
-// again or the grace is over.
+// restored from a copy from before that. None of these changes may be undone until the
+// entry is written again or the grace is over.
 func TestRestoredCopyUndoesNothingBeforeItsGrace(t *testing.T) {
 	leaving := endpoint("leaving")
 	leaving.StartedMillis, leaving.Sequence, leaving.State = 5, 9, fleet.EndpointDraining
@@ -93,14 +93,13 @@
 	require.Equal(t, fleet.EndpointReady, cache.View().Endpoints["leaving"].State, "the endpoint wrote a newer entry")
 
 	cache = newCache()
-	reborn := *gone
-	reborn.StartedMillis = 6
-	cache.Apply(back.Add(time.Second), restored(directory.Change{Endpoint: &reborn})...)
+	restarted := *gone
+	restarted.StartedMillis = 6
+	cache.Apply(back.Add(time.Second), restored(directory.Change{Endpoint: &restarted})...)
 	require.Contains(t, cache.View().Endpoints, "gone", "the endpoint has restarted")
 }
 
-// The same through the follower: the first list of a new era must not override newer known
-// entries.
+// The first list that a follower reads in a new era must not override newer known entries.
 func TestFollowerKeepsNewerStateThanARestoredList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		entry := func(id, state string, written, version int64) fleet.Row {
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -44,7 +44,8 @@
 	cache *Cache
 	// urgent reports whether this node is waiting for endpoints to change.
 	urgent func() bool
-	// known is closed once this node knows the nodes that may read the store for it.
+	// known is closed once this node has read the list of nodes, from one of which it may
+	// get the tables.
 	known <-chan struct{}
 }
 
@@ -56,8 +57,8 @@
 	return &Follower{store: store, cache: cache, urgent: urgent}
 }
 
-// WithKnown returns a follower that waits up to knownWait for known before its first
-// read, as a node that knows its neighbors can get the tables from one of them.
+// WithKnown returns a follower that waits up to knownWait before its first read until
+// known is closed, so that it can get the tables from another node instead of the store.
 func (f Follower) WithKnown(known <-chan struct{}) *Follower {
 	f.known = known
 	return &f
@@ -78,7 +79,7 @@
 	g.Every("expire_endpoints", expireInterval, func(_ context.Context, now time.Time) { f.cache.Expire(now) })
 }
 
-// awaitKnown waits until the neighbors are known, at most for knownWait.
+// awaitKnown waits until f.known is closed, at most for knownWait.
 func (f *Follower) awaitKnown(ctx context.Context) {
 	if f.known == nil {
 		return
@@ -130,9 +131,9 @@
 		case rows.Relayed:
 			wait = relayedInterval - time.Since(started)
 		case rows.More:
-			// A response holds a bounded number of changes. With thousands of endpoints,
-			// reading one response per interval falls further and further behind, and the
-			// node that forms groups sends the same orders again and again.
+			// A response holds a bounded number of changes. With thousands of endpoints, a
+			// node that read one response per interval would fall further and further
+			// behind, and a lease holder would send the same orders again and again.
 			wait = 0
 		}
 		if wait > 0 && !kernel.Sleep(ctx, wait) {
@@ -164,7 +165,7 @@
 		return rows, err
 	}
 	now := time.Now()
-	if feed.answered(now, rows.At) {
+	if feed.recordResponse(now, rows.At) {
 		f.cache.StoreReturned(now)
 	}
 	f.cache.Apply(now, feed.changes(now, rows)...)
@@ -175,9 +176,9 @@
 	return rows, nil
 }
 
-// answered records a response of the store. It reports whether the store was unavailable
+// recordResponse records a response of the store. It reports whether the store was unavailable
 // before, or has been restored from an older copy.
-func (f *feed) answered(now time.Time, at fleet.Position) bool {
+func (f *feed) recordResponse(now time.Time, at fleet.Position) bool {
 	wasRestored := !f.at.IsZero() && at.Era > f.at.Era
 	if wasRestored {
 		klog.InfoS("store_era", "table", f.table, "era", at.Era, "before", f.at.Era, "version", at.Version, "version_before", f.at.Version)
@@ -274,7 +275,8 @@
 	return changes
 }
 
-// missingOperators returns changes for the zones that a new list no longer takes out.
+// missingOperators returns changes for the zones that were out of service and are missing
+// from a new list.
 func (f *Follower) missingOperators(rows []fleet.Row) []Change {
 	_, zones := f.cache.Known()
 	var changes []Change
--- a/directory/restored.go
+++ b/directory/restored.go
@@ -25,14 +25,16 @@
 // endpoint would be ready again, an endpoint that is gone would get requests, and a zone that
 // was taken out would be back, until each is written again.
 type restored struct {
-	gone    map[string]goneEndpoint
-	held    map[string]heldEndpoint
-	zonesIn map[string]time.Time // when zones that the copy doesn't take out count as back
+	gone map[string]goneEndpoint
+	held map[string]heldEndpoint
+	// zonesIn holds the zones that the copy doesn't take out of service, and when each is
+	// in service again.
+	zonesIn map[string]time.Time
 }
 
 type goneEndpoint struct {
-	born int64
-	at   time.Time
+	startedMillis int64
+	at            time.Time
 }
 
 type heldEndpoint struct {
@@ -56,7 +58,7 @@
 		return older
 	}
 	left, ok := r.gone[entry.ID]
-	if !ok || entry.StartedMillis > left.born {
+	if !ok || entry.StartedMillis > left.startedMillis {
 		return false
 	}
 	if _, held := r.held[entry.ID]; !held {
@@ -68,7 +70,7 @@
 
 // noteGone records that an endpoint is gone.
 func (r *restored) noteGone(now time.Time, e *fleet.Endpoint) {
-	r.gone[e.ID] = goneEndpoint{born: e.StartedMillis, at: now}
+	r.gone[e.ID] = goneEndpoint{startedMillis: e.StartedMillis, at: now}
 }
 
 func (r *restored) forget(id string) {
