--- a/members/era_test.go
+++ b/members/era_test.go
@@ -34,8 +34,8 @@
 }
 
 // The store is restored with the lease row of a node that has lost the lease since. If that
-// node took its own lease back at once, beside the current holder, a VM would be ordered to
-// join two groups.
+// node took its lease back at once, while the current holder uses it too, a VM would be
+// ordered to join two groups.
 func TestRestoredLeaseIsNotTakenBesideItsHolder(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
 	f.run(10 * time.Second)
@@ -131,7 +131,7 @@
 }
 
 // After the store is restored from an older copy, holders must wait until the endpoints have
-// written their entries again, as they would form groups from outdated entries otherwise. A
+// written their entries again; otherwise they would form groups from outdated entries. A
 // node that starts later learns from the holder's record that the wait is over.
 func TestEraIsRecoveredAfterEntriesWereWrittenAgain(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
--- a/members/leases.go
+++ b/members/leases.go
@@ -29,9 +29,9 @@
 	case action == lease.Wait, action == lease.Acquire && !t.isTurn(zone, boot):
 		return false
 	case action == lease.Acquire && !t.listedAt.After(t.writeFailedAt[zone]):
-		// While the store is unavailable all leases seem free, and each node of a zone
-		// would try to take one again and again. After a failed write the table must be
-		// read before the next attempt.
+		// While the store is unavailable, all leases seem free, and each node of a zone
+		// would try to take its lease again and again. After a failed write the table
+		// must be read before the next attempt.
 		return false
 	case boot.Sub(t.renewTriedAt[zone]) < renewInterval:
 		return false
--- a/members/members.go
+++ b/members/members.go
@@ -44,10 +44,10 @@
 	// firstStartDelay is how long a node waits at the first start of a deployment between writing
 	// its row and reading the table, so that the other nodes can write theirs.
 	firstStartDelay = 1200 * time.Millisecond
-	// takeStagger is the delay per rank before a node of a zone takes a free lease, so that
+	// acquireStagger is the delay per rank before a node of a zone takes a free lease, so that
 	// the nodes don't all try at once.
-	takeStagger  = 150 * time.Millisecond
-	stepInterval = 100 * time.Millisecond
+	acquireStagger = 150 * time.Millisecond
+	stepInterval   = 100 * time.Millisecond
 )
 
 const (
@@ -98,14 +98,14 @@
 	writeFailedAt map[string]time.Time
 	freeSince     map[string]time.Time // when this node first saw a zone's lease free
 	stopped       bool
-	// at is the newest position of the store that this node knows.
+	// at is the newest position of the store that this node has seen.
 	at atomic.Pointer[fleet.Position]
 	// held holds the leases of this node, by zone.
 	held    atomic.Pointer[map[string]heldLease]
 	holders atomic.Pointer[map[string]string] // names of the lease holders, by zone
 }
 
-// NewTable returns a table that knows only this node.
+// NewTable returns a table that lists only this node.
 func NewTable(config Config, store fleet.Store) *Table {
 	t := &Table{
 		config: config, store: store, leases: map[string]lease.State{}, seen: map[string]seenNode{}, renewTriedAt: map[string]time.Time{},
@@ -253,7 +253,7 @@
 			rank++
 		}
 	}
-	return boot.Sub(since) >= time.Duration(rank)*takeStagger
+	return boot.Sub(since) >= time.Duration(rank)*acquireStagger
 }
 
 func (t *Table) publishHeld() {
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -211,7 +211,7 @@
 	require.Len(t, f.holders("a"), 1)
 }
 
-// A holder can't reach the store: it must stop using the lease before another node may take
+// A holder that can't reach the store must stop using its lease before another node may take
 // it. The check in run fails if a zone has two holders.
 func TestHolderLosesTheStore(t *testing.T) {
 	f := newFleet(t, map[string]string{"a1": "a", "a2": "a"})
--- a/members/nodes.go
+++ b/members/nodes.go
@@ -66,8 +66,8 @@
 	t.nodes.Store(&nodes)
 }
 
-// unlistedNodes returns the live nodes whose rows are unlistedNodes since the store was restored from an
-// older copy, and copies them to next, as long as they may still write their rows again.
+// unlistedNodes returns the live nodes whose rows are missing since the store was restored
+// from an older copy, and copies them to next. It returns none once restoreGrace is over.
 func (t *Table) unlistedNodes(boot time.Time, next map[string]seenNode) []Node {
 	if t.restoredAt.IsZero() || boot.Sub(t.restoredAt) > restoreGrace {
 		return nil
@@ -110,7 +110,7 @@
 	t.listTriedAt = boot.Add(firstStartDelay - listInterval)
 }
 
-// announceEvery is how often this node writes its row.
+// announceEvery returns how often this node writes its row.
 func (t *Table) announceEvery() time.Duration { return t.scaledByNodes(announceInterval) }
 
 // scaledByNodes lengthens an interval in proportion to the number of nodes, once they are
