--- a/daemon/router_settings.go
+++ b/daemon/router_settings.go
@@ -22,7 +22,7 @@
 	MaxBodyBytes   int                  `json:"max_body_bytes"`
 	MaxRequests    int                  `json:"max_requests"`
 	MaxConnections int                  `json:"max_connections"`
-	MaxTries       int                  `json:"max_tries"`
+	MaxAttempts    int                  `json:"max_tries"`
 	RetryPercent   int                  `json:"retry_percent"`
 	Picker         string               `json:"picker"`
 }
@@ -32,7 +32,7 @@
 	return load(path, RouterSettings.WithDefaults)
 }
 
-// WithDefaults returns the settings with their empty fields filled.
+// WithDefaults returns the settings with empty fields set to their defaults.
 func (s RouterSettings) WithDefaults() RouterSettings {
 	s.Common = s.withDefaults()
 	s.PollInterval = orDefault(s.PollInterval, 500*time.Millisecond)
@@ -46,7 +46,7 @@
 	s.MaxBodyBytes = intOrDefault(s.MaxBodyBytes, 1<<20)
 	s.MaxRequests = intOrDefault(s.MaxRequests, 2000)
 	s.MaxConnections = intOrDefault(s.MaxConnections, 8000)
-	s.MaxTries = intOrDefault(s.MaxTries, 4)
+	s.MaxAttempts = intOrDefault(s.MaxAttempts, 4)
 	s.RetryPercent = intOrDefault(s.RetryPercent, 10)
 	if s.Picker == "" {
 		s.Picker = route.DefaultPicker
@@ -61,7 +61,7 @@
 	return v
 }
 
-// Validate returns everything wrong with the settings, ordered by path.
+// Validate returns all validation errors of the settings, ordered by path.
 func (s RouterSettings) Validate() redwinghall.Faults {
 	f := s.validate()
 	f = append(f, validateAddress("caller_address", s.CallerAddress)...)
@@ -76,7 +76,7 @@
 	f = f.Between("max_body_bytes", s.MaxBodyBytes, 1024, 64<<20)
 	f = f.Between("max_requests", s.MaxRequests, 1, 1000000)
 	f = f.Between("max_connections", s.MaxConnections, 1, 1000000)
-	f = f.Between("max_tries", s.MaxTries, 1, 20)
+	f = f.Between("max_tries", s.MaxAttempts, 1, 20)
 	f = f.Between("retry_percent", s.RetryPercent, 1, 100)
 	if _, err := route.Pickers.Get(s.Picker); err != nil {
 		f = f.With("picker", "%v", err)
--- a/daemon/settings_test.go
+++ b/daemon/settings_test.go
@@ -17,7 +17,7 @@
 const goodRouter = `{"id":"router-1","availability_zone":"tartu","peer_address":"127.0.0.1:1","platform_address":"127.0.0.1:2",
  "caller_address":"127.0.0.1:3","peer_token":{"env":"RWH_SETTINGS_TEST"},"stall_timeout":"1.5s"}`
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -42,7 +42,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := daemon.LoadRouter(write(t, tt.in))
+			_, err := daemon.LoadRouter(writeFile(t, tt.in))
 			var faults redwinghall.Faults
 			if tt.want == nil {
 				require.NoError(t, err)
@@ -75,14 +75,14 @@
 		want int
 		text string
 	}{
-		{"help", []string{"--help"}, daemon.ExitDone, "--settings"},
-		{"version", []string{"--version"}, daemon.ExitDone, daemon.Version},
+		{"help", []string{"--help"}, daemon.ExitOK, "--settings"},
+		{"version", []string{"--version"}, daemon.ExitOK, daemon.Version},
 		{"nothing", nil, daemon.ExitUsage, "--settings is missing"},
 		{"unknown flag", []string{"--token", "x"}, daemon.ExitUsage, "unknown flag"},
 		{"an argument", []string{"--settings", "x", "y"}, daemon.ExitUsage, `"y" is not understood`},
 		{"bad settings", []string{"--settings", "bad"}, daemon.ExitUsage, "id: want a name"},
-		{"check", []string{"--settings", "good", "--check"}, daemon.ExitDone, "valid"},
-		{"fails", []string{"--settings", "good"}, daemon.ExitRefused, "port is taken"},
+		{"check", []string{"--settings", "good", "--check"}, daemon.ExitOK, "valid"},
+		{"fails", []string{"--settings", "good"}, daemon.ExitFailure, "port is taken"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -81,7 +81,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			tracker := health.NewTracker(pair())
 			tt.polls(tracker)
-			require.Equal(t, tt.whole, tracker.Health().Whole(pair(), tt.now, bound))
+			require.Equal(t, tt.whole, tracker.Health().Healthy(pair(), tt.now, bound))
 		})
 	}
 }
@@ -106,7 +106,7 @@
 
 	merged, ok := book.Get("g")
 	require.True(t, ok)
-	require.False(t, merged.Whole(pair(), now, bound))
+	require.False(t, merged.Healthy(pair(), now, bound))
 }
 
 // Guards against requests being sent to a replica that is known to be broken. A
@@ -120,9 +120,9 @@
 	require.False(t, book.Merge(broken), "known already")
 	book.Merge(redwinghall.GroupHealth{Group: "g", Generation: 3, Ready: true, SeenAt: start.Add(time.Second)})
 	merged, _ := book.Get("g")
-	require.False(t, merged.Whole(pair(), start.Add(time.Second), bound))
+	require.False(t, merged.Healthy(pair(), start.Add(time.Second), bound))
 
 	book.Merge(redwinghall.GroupHealth{Group: "g", Generation: 4, Ready: true, SeenAt: start.Add(2 * time.Second)})
 	merged, _ = book.Get("g")
-	require.True(t, merged.Whole(pair().WithGeneration(4), start.Add(2*time.Second), bound))
+	require.True(t, merged.Healthy(pair().WithGeneration(4), start.Add(2*time.Second), bound))
 }
--- a/route/route.go
+++ b/route/route.go
@@ -99,7 +99,7 @@
 		return false
 	}
 	h := b.health.Load()
-	return h != nil && h.Whole(*g, now, bound)
+	return h != nil && h.Healthy(*g, now, bound)
 }
 
 // TryAcquire acquires a slot unless the limit is reached.
