--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -14,16 +14,16 @@
 // limitedEndpoint adds an endpoint that announces a rate limit, and returns its
 // request counter.
 func (s *fixture) limitedEndpoint(id, service, perSecond string) *atomic.Int32 {
-	var asked atomic.Int32
+	var requests atomic.Int32
 	s.endpoint(id, service, func(w http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		platformtest.SetLimitHeader(w, perSecond)
 		sign(w, r)
 		if service == "llm" {
 			writeEvents(w, 1, 3)
 		}
 	})
-	return &asked
+	return &requests
 }
 
 // Requests beyond the rate limit of an endpoint must go to another one, even if the
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -99,13 +99,13 @@
 			ID: id, Key: "key-1", Model: "m0", Timeout: one.timeout, Prompt: 100, Answer: one.answer,
 		})
 		require.NoError(t, err)
-		asked := time.Now()
+		sentAt := time.Now()
 		got := s.do(r)
 		require.Equal(t, one.status, got.status, id)
 		_, hasRun := ran.Load(id)
 		require.Equal(t, one.status == http.StatusOK, hasRun, id)
 		if one.status == http.StatusServiceUnavailable {
-			require.Less(t, time.Since(asked), 500*time.Millisecond, id)
+			require.Less(t, time.Since(sentAt), 500*time.Millisecond, id)
 			require.NotEmpty(t, got.header.Get("Retry-After"), id)
 		}
 	}
--- a/node/era_test.go
+++ b/node/era_test.go
@@ -84,7 +84,7 @@
 	for i, d := range z.nodes {
 		for _, path := range []string{"/stream/x", "/look/x"} {
 			require.Eventually(t, func() bool {
-				status, _ := d.ask(http.MethodPost, path, fmt.Sprint("after-", i, time.Now().UnixNano()))
+				status, _ := d.request(http.MethodPost, path, fmt.Sprint("after-", i, time.Now().UnixNano()))
 				return status == http.StatusOK
 			}, recoveryBound-time.Since(back), 50*time.Millisecond, path)
 		}
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -54,7 +54,7 @@
 	}
 	for _, d := range z.nodes {
 		require.Eventually(t, func() bool {
-			status, _ := d.ask(http.MethodPost, "/stream/x", "warm-up")
+			status, _ := d.request(http.MethodPost, "/stream/x", "warm-up")
 			return d.ready() && status == http.StatusOK
 		}, 20*time.Second, 50*time.Millisecond)
 	}
@@ -113,7 +113,7 @@
 func (z *zonedDeployment) runCallers(t *testing.T, d time.Duration, method, path string) int {
 	t.Helper()
 	const callersPerNode = 3
-	var answered, asked atomic.Int64
+	var answered, sent atomic.Int64
 	ctx, stop := context.WithTimeout(context.Background(), d)
 	defer stop()
 	g := kernel.NewGroup(ctx)
@@ -121,7 +121,7 @@
 		for range callersPerNode {
 			g.Go("caller", func(ctx context.Context) error {
 				for ctx.Err() == nil {
-					if status, _ := node.ask(method, path, fmt.Sprint("ask-", asked.Add(1))); status == http.StatusOK {
+					if status, _ := node.request(method, path, fmt.Sprint("ask-", sent.Add(1))); status == http.StatusOK {
 						answered.Add(1)
 					}
 					time.Sleep(20 * time.Millisecond)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -151,12 +151,12 @@
 	d.t.Helper()
 	d.waitOpen()
 	require.Eventually(d.t, func() bool {
-		status, _ := d.ask(http.MethodPost, "/stream/x", "warm-up")
+		status, _ := d.request(http.MethodPost, "/stream/x", "warm-up")
 		return status == http.StatusOK
 	}, 5*time.Second, 50*time.Millisecond)
 }
 
-func (d *deployment) ask(method, path, id string) (int, string) {
+func (d *deployment) request(method, path, id string) (int, string) {
 	r, err := platformtest.NewRequest(context.Background(), method, d.settings.CallerAddress, path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Timeout: 5 * time.Second, Prompt: 100, Answer: 30,
 	})
@@ -184,10 +184,10 @@
 	d := deploy(t)
 	d.start()
 	d.waitServing()
-	status, body := d.ask(http.MethodPost, "/stream/x", "ask-1")
+	status, body := d.request(http.MethodPost, "/stream/x", "ask-1")
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, platformtest.FullResponse("ask-1", answerEvents), body)
-	status, body = d.ask(http.MethodPost, "/book/x", "book-1")
+	status, body = d.request(http.MethodPost, "/book/x", "book-1")
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "done book-1", body)
 	require.Equal(t, 1, d.runCounter.Runs("book-1"))
@@ -209,7 +209,7 @@
 	d.store.DropHistory()
 	require.NoError(t, d.store.Put("op", "config", platformtest.Configuration(2, "key-2")))
 	require.Eventually(t, func() bool {
-		status, _ := d.ask(http.MethodGet, "/look/x", "look-1")
+		status, _ := d.request(http.MethodGet, "/look/x", "look-1")
 		return status == http.StatusUnauthorized
 	}, 4*time.Second, 50*time.Millisecond)
 }
@@ -226,7 +226,7 @@
 			d.waitServing()
 			d.store.SetFaults(faults)
 			for i := range 20 {
-				status, body := d.ask(http.MethodPost, "/stream/x", fmt.Sprint("ask-", i))
+				status, body := d.request(http.MethodPost, "/stream/x", fmt.Sprint("ask-", i))
 				require.Equal(t, http.StatusOK, status)
 				require.Equal(t, platformtest.FullResponse(fmt.Sprint("ask-", i), answerEvents), body)
 				time.Sleep(100 * time.Millisecond)
@@ -245,13 +245,13 @@
 	d.waitServing()
 	var mu sync.Mutex
 	broken, answered := 0, 0
-	asking, stopAsking := context.WithCancel(context.Background())
-	g := kernel.NewGroup(asking)
+	calling, stopCalling := context.WithCancel(context.Background())
+	g := kernel.NewGroup(calling)
 	for i := range 4 {
 		g.Go("caller", func(ctx context.Context) error {
 			for n := 0; ctx.Err() == nil; n++ {
 				id := fmt.Sprintf("ask-%d-%d", i, n)
-				status, body := d.ask(http.MethodPost, "/stream/x", id)
+				status, body := d.request(http.MethodPost, "/stream/x", id)
 				mu.Lock()
 				if status == http.StatusOK && body == platformtest.FullResponse(id, answerEvents) {
 					answered++
@@ -267,7 +267,7 @@
 	d.stop()
 	require.Eventually(t, func() bool { return !d.ready() }, time.Second, 5*time.Millisecond)
 	require.NoError(t, <-d.done)
-	stopAsking()
+	stopCalling()
 	require.NoError(t, g.Wait())
 	require.Zero(t, broken)
 	require.Greater(t, answered, 20)
@@ -282,6 +282,6 @@
 	d.waitServing()
 	require.NoError(t, os.WriteFile(d.path, []byte("node_name=\n"), 0o600))
 	time.Sleep(3500 * time.Millisecond)
-	status, _ := d.ask(http.MethodGet, "/look/x", "look-1")
+	status, _ := d.request(http.MethodGet, "/look/x", "look-1")
 	require.Equal(t, http.StatusOK, status)
 }
--- a/node/stop_connections_test.go
+++ b/node/stop_connections_test.go
@@ -26,24 +26,24 @@
 	d.start()
 	d.waitServing()
 	idle, first, second := dialCallers(d), dialCallers(d), dialCallers(d)
-	require.False(t, idle.ask("/look/x", "before").Close)
+	require.False(t, idle.request("/look/x", "before").Close)
 	g := kernel.NewGroup(context.Background())
 	firstEnded := make(chan time.Time, 1)
 	g.Go("first", func(context.Context) error {
 		defer func() { firstEnded <- time.Now() }()
-		first.ask("/stream/x", "first")
+		first.request("/stream/x", "first")
 		return nil
 	})
 	time.Sleep(1200 * time.Millisecond)
 	g.Go("second", func(context.Context) error {
-		second.ask("/stream/x", "second")
+		second.request("/stream/x", "second")
 		return nil
 	})
 	time.Sleep(300 * time.Millisecond)
 	d.stop()
 	time.Sleep(2700 * time.Millisecond) // the load balancer has noticed, both streams are running
-	require.True(t, idle.ask("/look/x", "idle").Close)
-	require.True(t, dialCallers(d).ask("/look/x", "new").Close)
+	require.True(t, idle.request("/look/x", "idle").Close)
+	require.True(t, dialCallers(d).request("/look/x", "new").Close)
 	ended := <-firstEnded
 	first.requireEnd(ended.Add(300 * time.Millisecond))
 	require.Empty(t, d.done, "the node exited before the second stream ended")
@@ -66,8 +66,8 @@
 	return &callerConn{d: d, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// ask sends a request and reads the response, which must be complete and successful.
-func (c *callerConn) ask(path, id string) *http.Response {
+// request sends a request and reads the response, which must be complete and successful.
+func (c *callerConn) request(path, id string) *http.Response {
 	c.d.t.Helper()
 	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, c.d.settings.CallerAddress, path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Timeout: 6 * time.Second, Prompt: 100, Answer: longTokens,
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -54,7 +54,7 @@
 	defer c.client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
 		a := stopAttempt{id: fmt.Sprintf("%s-%d", c.name, n), sent: time.Now()}
-		a.status, a.complete = c.ask(ctx, a.id)
+		a.status, a.complete = c.request(ctx, a.id)
 		c.mu.Lock()
 		c.seen = append(c.seen, a)
 		c.mu.Unlock()
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (c *stopCaller) ask(ctx context.Context, id string) (status int, complete bool) {
+func (c *stopCaller) request(ctx context.Context, id string) (status int, complete bool) {
 	r, err := platformtest.NewRequest(ctx, http.MethodPost, c.d.settings.CallerAddress, c.path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Timeout: 8 * time.Second, Prompt: 100, Answer: longTokens,
 	})
@@ -132,8 +132,8 @@
 	t.Helper()
 	const streams, bookings = 12, 4
 	callers := &stopCallers{}
-	asking, cancel := context.WithCancel(context.Background())
-	g := kernel.NewGroup(asking)
+	calling, cancel := context.WithCancel(context.Background())
+	g := kernel.NewGroup(calling)
 	start := func(c *stopCaller, after time.Duration) {
 		callers.all = append(callers.all, c)
 		g.Go(c.name, func(ctx context.Context) error {
