--- a/formation/convert.go
+++ b/formation/convert.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// convertGain is the minimum gain in balanced supply for which a group is converted
-	// to another model. Smaller differences come and go with the load.
+	// convertGain is the minimum gain in balanced supply (see supply) for which a group
+	// is converted to another model. Smaller differences come and go with the load.
 	convertGain = 0.03
 	// minGroups is the minimum number of groups that a model keeps in a zone.
 	minGroups = 2
@@ -25,7 +25,7 @@
 	if p.zone.Startup || len(p.closingGroups) > 0 {
 		return
 	}
-	for _, g := range p.openable { // closed to be converted, and no longer counted in serving
+	for _, g := range p.openable { // includes groups closed for conversion, which serving no longer counts
 		if to, ok := p.bestSmallerModel(g.model, p.serving[g.model.Name]+g.size()); ok && !p.dismantled[g.name] && g.unfit() == 0 && p.hasStaged(g, to) {
 			p.dismantle(g, "convert_to_"+to.Name)
 			return
