--- a/node/stop_connections_test.go
+++ b/node/stop_connections_test.go
@@ -15,7 +15,7 @@
 	"redwinghall/platform/platformtest"
 )
 
-// A node is told to stop while two streams run, the second for over a second longer.
+// A node gets the signal to stop while two streams run, the second for over a second longer.
 // Requests that still arrive, on a new connection or on an idle one, must get a response
 // with "Connection: close", not a refused or closed connection. The first stream's
 // headers were sent before the signal; its connection must be closed right after it,
@@ -26,24 +26,24 @@
 	d.start()
 	d.waitServing()
 	idle, first, second := dialCallers(d), dialCallers(d), dialCallers(d)
-	require.False(t, idle.ask("/look/x", "before").Close)
+	require.False(t, idle.request("/look/x", "before").Close)
 	g := kernel.NewGroup(context.Background())
 	firstEnded := make(chan time.Time, 1)
 	g.Go("first", func(context.Context) error {
 		defer func() { firstEnded <- time.Now() }()
-		first.ask("/stream/x", "first")
+		first.request("/stream/x", "first")
 		return nil
 	})
 	time.Sleep(1200 * time.Millisecond)
 	g.Go("second", func(context.Context) error {
-		second.ask("/stream/x", "second")
+		second.request("/stream/x", "second")
 		return nil
 	})
 	time.Sleep(300 * time.Millisecond)
 	d.stop()
 	time.Sleep(2700 * time.Millisecond) // the load balancer has noticed, both streams are running
-	require.True(t, idle.ask("/look/x", "idle").Close)
-	require.True(t, dialCallers(d).ask("/look/x", "new").Close)
+	require.True(t, idle.request("/look/x", "idle").Close)
+	require.True(t, dialCallers(d).request("/look/x", "new").Close)
 	ended := <-firstEnded
 	first.requireEnd(ended.Add(300 * time.Millisecond))
 	require.Empty(t, d.done, "the node exited before the second stream ended")
@@ -51,7 +51,7 @@
 	require.NoError(t, <-d.done)
 }
 
-// callerConn is a raw caller connection, which sends only the requests it is told to.
+// callerConn is a raw connection of a caller, without the retries of an HTTP client.
 type callerConn struct {
 	d      *deployment
 	conn   net.Conn
@@ -66,21 +66,21 @@
 	return &callerConn{d: d, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// ask sends a request and reads the response, which must be complete and successful.
-func (c *callerConn) ask(path, id string) *http.Response {
+// request sends a request and reads the response, which must be complete and successful.
+func (c *callerConn) request(path, id string) *http.Response {
 	c.d.t.Helper()
 	r, err := platformtest.NewRequest(context.Background(), http.MethodPost, c.d.settings.CallerAddress, path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Timeout: 6 * time.Second, Prompt: 100, Answer: longTokens,
 	})
 	require.NoError(c.d.t, err)
 	require.NoError(c.d.t, r.Write(c.conn))
-	answer, err := http.ReadResponse(c.reader, r)
+	response, err := http.ReadResponse(c.reader, r)
 	require.NoError(c.d.t, err, id)
-	_, err = io.ReadAll(answer.Body)
+	_, err = io.ReadAll(response.Body)
 	require.NoError(c.d.t, err, id)
-	require.NoError(c.d.t, answer.Body.Close())
-	require.Equal(c.d.t, http.StatusOK, answer.StatusCode, id)
-	return answer
+	require.NoError(c.d.t, response.Body.Close())
+	require.Equal(c.d.t, http.StatusOK, response.StatusCode, id)
+	return response
 }
 
 // requireEnd requires that the node closes the connection by latest, without a further request.
