--- a/claim.go
+++ b/claim.go
@@ -16,8 +16,8 @@
 	ClaimReleased ClaimState = "released" // nothing was sent, and nothing will be
 )
 
-// Claim is the table row that ensures that a non-idempotent request runs at most
-// once.
+// Claim is the value of the table row that ensures that a non-idempotent request
+// runs at most once.
 type Claim struct {
 	Token    string     `json:"token"`     // identifies one attempt of one router
 	BodyHash string     `json:"body_hash"` // hash of method, path and body
--- a/client_account.go
+++ b/client_account.go
@@ -16,7 +16,8 @@
 	ClassBatch       Class = "batch"
 )
 
-// Upper limits of a client account's settings. They apply for each router.
+// Upper limits of a client account's settings, which apply in each router
+// separately.
 const (
 	maxAccountWeight = 1000
 	maxAccountQueue  = 10000
--- a/code.go
+++ b/code.go
@@ -21,8 +21,8 @@
 // Code is a stable name of a refusal, an error or a state.
 type Code string
 
-// The codes. Codes describes them; error responses to callers, rwhctl explain
-// and docs/CODES.md are generated from it.
+// The codes. Error responses to callers, rwhctl explain and docs/CODES.md are
+// generated from the descriptions that Codes returns.
 const (
 	CodeBadRequest         Code = "bad_request"
 	CodeTooLarge           Code = "too_large"
--- a/engine.go
+++ b/engine.go
@@ -12,9 +12,9 @@
 	RoleIdle   Role = "idle"
 )
 
-// Order tells an engine which group it belongs to and what to load. Engines
-// that check the fencing token refuse an order whose token is lower than that of
-// an order they have accepted.
+// Order assigns an engine to a group and names the model to load. Engines that
+// check the fencing number refuse an order whose number is lower than that of an
+// order they have accepted.
 type Order struct {
 	Fencing    uint64   `json:"fencing"`
 	Group      string   `json:"group"`
--- a/group.go
+++ b/group.go
@@ -22,8 +22,8 @@
 	Generation uint64 `json:"generation"`
 	// A leaving group finishes its requests and accepts no new ones.
 	Leaving bool `json:"leaving,omitempty"`
-	// The record of a dissolved group is kept, so that an older copy of the
-	// group that arrives late from a peer is not taken for a new group.
+	// A dissolved group no longer exists. Its record is kept, so that an older
+	// copy that arrives late from a peer does not bring the group back.
 	Dissolved bool `json:"dissolved,omitempty"`
 
 	MaxInFlight  int `json:"max_in_flight"`
@@ -47,8 +47,7 @@
 	return g
 }
 
-// WithDissolved returns the final record of the group, which tells peers that
-// the group no longer exists.
+// WithDissolved returns a copy of the group marked as dissolved.
 func (g Group) WithDissolved() Group {
 	g.Leaving = true
 	g.Dissolved = true
@@ -74,11 +73,11 @@
 type GroupHealth struct {
 	Group      string
 	Generation uint64
-	// SeenAt is the earliest of the times at which each member was last seen
-	// alive in this generation with its first start id. It is zero until all
-	// members were seen.
+	// SeenAt is when the member seen least recently was last seen alive in
+	// this generation, without a restart. It is zero until all members have
+	// been seen.
 	SeenAt time.Time
-	// LostAt is when a member last refused a connection, which means that its
+	// LostAt is when a member last refused a connection, which shows that its
 	// process has ended.
 	LostAt time.Time
 	// Broken is set when a member was found restarted or in another group. It
@@ -93,11 +92,11 @@
 // Healthy reports whether the group is ready and every member was seen alive no
 // longer than bound ago in the group's current generation.
 //
-// A replica that lost a VM sends nothing or garbage, so callers of a router that
-// relies on an outdated list see stalled responses. A member that has been silent
-// for longer than the bound is therefore treated as lost, and the generation
-// ensures that the observation is of the group's current members. When a member
-// refuses a connection, the group is unhealthy at once.
+// A replica that lost a VM sends nothing or garbage. If routers relied on an
+// outdated list of VMs, callers would get stalled responses. A member that has
+// been silent for longer than the bound is therefore treated as lost, and the
+// generation ensures that the observation is of the group's current members. When
+// a member refuses a connection, the group is unhealthy at once.
 func (h GroupHealth) Healthy(g Group, now time.Time, bound time.Duration) bool {
 	if h.Broken || !h.Ready || h.Generation != g.Generation || !h.SeenAt.After(h.LostAt) {
 		return false
--- a/manifest.go
+++ b/manifest.go
@@ -9,8 +9,8 @@
 	"redwinghall/strictjson"
 )
 
-// Manifest is the configuration that operators want served. Their build pipeline
-// generates it; it is accepted or refused as a whole.
+// Manifest is the configuration of the deployment, which operators generate in
+// their build pipeline and submit. It is accepted or refused as a whole.
 type Manifest struct {
 	Name           string         `json:"name"`
 	ClientAccounts ClientAccounts `json:"client_accounts"`
@@ -109,8 +109,8 @@
 	return data, hex.EncodeToString(sum[:]), nil
 }
 
-// Accepted is an accepted manifest. Each one that is accepted has a higher
-// generation than the one before.
+// Accepted is an accepted manifest. Its generation is higher than that of the
+// manifest accepted before it.
 type Accepted struct {
 	Generation uint64   `json:"generation"`
 	Hash       string   `json:"hash"`
--- a/service.go
+++ b/service.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// Service is a plain service, one that is not a model engine, to which calls are
-// routed.
+// Service is a plain service: one that is not a model engine.
 type Service struct {
 	ID             string   `json:"id"`
 	ClientAccounts []string `json:"client_accounts"`
--- a/table.go
+++ b/table.go
@@ -43,7 +43,7 @@
 	Commit(ctx context.Context, txn Txn) error
 }
 
-// TableKind is the kind of a table error: what it means for the operation.
+// TableKind is the kind of a table error. Table.Commit describes the kinds.
 type TableKind string
 
 // The kinds of table errors.
