--- a/caller/once_test.go
+++ b/caller/once_test.go
@@ -162,9 +162,9 @@
 // disconnects.
 func TestOutcomeIsKeptWhenCallerHasGone(t *testing.T) {
 	d := twoZones(t)
-	began := make(chan string, 10)
+	arrivals := make(chan string, 10)
 	for _, s := range d.Services {
-		s.Arrivals = began
+		s.Arrivals = arrivals
 		s.SetFaults(service.Faults{Delay: redwinghall.Duration(200 * time.Millisecond)})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -177,7 +177,7 @@
 		}
 		return nil
 	})
-	require.Equal(t, "gone-1", <-began)
+	require.Equal(t, "gone-1", <-arrivals)
 	cancel()
 	require.NoError(t, g.Wait())
 	var r rwhtest.Reply
@@ -192,8 +192,9 @@
 }
 
 // A caller that gets the outcome not_run may send a call again, so the first one must
-// not have been executed. Deadlines pass at many different times around the sending of
-// the call. The service's own count must be zero for each not_run, and never above one.
+// not have been executed. The calls have different deadlines, which pass shortly before
+// or after the router sends the call. The service's own count must be zero for each
+// not_run, and never above one.
 func TestDeadlinesAroundDispatchKeepNotRunTrue(t *testing.T) {
 	d := twoZones(t)
 	d.Table.SetFaults(table.Faults{Latency: redwinghall.Duration(2 * time.Millisecond)})
@@ -251,8 +252,8 @@
 	require.NotEmpty(t, r.Header.Get("Retry-After"))
 	require.Zero(t, d.Runs("storm-1"))
 
-	answer := d.Load(4, 2, 8, 0, 1)
-	require.Equal(t, 4, answer.Correct, "chat completions work without the table")
+	result := d.Load(4, 2, 8, 0, 1)
+	require.Equal(t, 4, result.Correct, "chat completions work without the table")
 
 	d.Table.SetFaults(table.Faults{})
 	d.Eventually("the deposit runs", func() bool {
--- a/caller/relay.go
+++ b/caller/relay.go
@@ -37,8 +37,8 @@
 	return full/2 + rand.N(full/2)
 }
 
-// avoidTime is how long a group that failed a request is used only if there is no
-// other, so that retries do not go to the same slow or broken group again.
+// avoidTime is how long a group that failed a request is avoided while there are
+// others, so that retries do not go to the same slow or broken group again.
 const avoidTime = 2 * time.Second
 
 // relay streams one response from the endpoints to the caller. It may take several
@@ -94,7 +94,7 @@
 		if errors.Is(last, errCallerGone) || ctx.Err() != nil {
 			break
 		}
-		klog.V(1).InfoS("try_failed", "request_id", l.request.id, "address", where.address,
+		klog.V(1).InfoS("attempt_failed", "request_id", l.request.id, "address", where.address,
 			"position", l.sequence.next, "cause", last.Error())
 		l.recordFailure(where)
 		emptyAttempts++
@@ -120,8 +120,8 @@
 	l.failedRouters[where.address] = true
 }
 
-// giveUp ends a response that cannot be completed. If it has started, the caller
-// receives an error event; otherwise giveUp returns the error to refuse with.
+// giveUp ends a response that cannot be completed. If it has started, giveUp sends an
+// error event to the caller; otherwise it returns the error for the refusal.
 func (l *relay) giveUp(ctx context.Context, cause error) error {
 	if errors.Is(cause, errCallerGone) || l.sink.abort(redwinghall.CodeAnswerIncomplete) {
 		return redwinghall.NewOpError("relay.giveUp", redwinghall.CodeAnswerIncomplete, errResponseStarted)
@@ -135,10 +135,16 @@
 	return redwinghall.NewOpError("relay.giveUp", redwinghall.CodeEndpointFailed, cause)
 }
 
-// choose returns the target of the next attempt: a group of this zone; if all groups
-// of the zone are cold and this router may not send to any, the router that may; or a
-// router of another zone if this zone is out of service or has no usable group. If there
-// is none of these but a healthy cold group, it waits for a grant.
+// choose returns the target of the next attempt, the first of these that exists:
+//
+//   - the router that owns a cold group of this zone, if this router may not send to
+//     any usable group itself
+//   - a group of this zone, after waiting for capacity
+//   - a router of another zone
+//   - a healthy cold group of this zone, after waiting for a grant
+//
+// Groups of this zone are left out while it is out of service. A request that another
+// router forwarded is not forwarded again.
 func (l *relay) choose(ctx context.Context, prefix uint64, attempt int) (target, error) {
 	s := l.server
 	out := s.selector.View().ZoneOut(s.config.AvailabilityZone)
@@ -167,8 +173,8 @@
 	return target{}, redwinghall.NewOpError("relay.choose", redwinghall.CodeNoCapacity, nil)
 }
 
-// waitForGrant waits for a group that is healthy but cold and to which no router may
-// send yet. Its owner requests a grant shortly.
+// waitForGrant waits until this router may send to a group that is healthy but cold.
+// The router that owns the group will request a grant for it.
 func (l *relay) waitForGrant(ctx context.Context) (target, error) {
 	group, err := l.model.Gate.Acquire(ctx, time.Now(), l.request.account)
 	if err != nil {
@@ -215,11 +221,11 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A connection of which a device on the path has lost the state stays silent
-	// forever, and so does an endpoint that hangs; the caller would wait until its
-	// deadline. If the next chunk does not arrive within StallTimeout, the attempt
-	// ends, its connection is closed, and another group continues from the same
-	// position.
+	// If the endpoint hangs, or a device on the path has lost the state of the
+	// connection, the connection stays silent forever and the caller would wait
+	// until its deadline. If the next chunk does not arrive within StallTimeout, the
+	// attempt ends, its connection is closed, and another group continues from the
+	// same position.
 	stall := time.AfterFunc(l.server.config.StallTimeout, cancel)
 	defer stall.Stop()
 
@@ -261,7 +267,7 @@
 	}
 }
 
-// copy passes events on to the sink until the end mark, which has a position in the
+// copy sends events to the sink until the end mark, which has a position in the
 // sequence like any chunk.
 func (l *relay) copy(events *EventReader, stall *time.Timer) error {
 	complete := false
@@ -278,11 +284,11 @@
 			return fmt.Errorf("stream ended before its end mark: %w", unexpectedEOF(err))
 		}
 		stall.Reset(l.server.config.StallTimeout)
-		trusted, err := l.sequence.offer(event, deliver)
+		valid, err := l.sequence.add(event, deliver)
 		if err != nil {
 			return err
 		}
-		if !trusted {
+		if !valid {
 			return errBadStream
 		}
 	}
--- a/caller/request.go
+++ b/caller/request.go
@@ -30,12 +30,13 @@
 	series  *series
 }
 
-// handler responds to a request, or returns the error with which to refuse it. An
-// error after the response has started wraps errResponseStarted.
+// handler responds to a request, or returns the error for the refusal. An error after
+// the response has started wraps errResponseStarted.
 type handler func(ctx context.Context, w http.ResponseWriter, r *request) error
 
-// handle returns a handler function that calls next with what all requests need: the
-// request id, the limits, the client account and the deadline. It also sends refusals.
+// handle returns an HTTP handler that applies what all requests have in common before
+// it calls next: request id, limits, authentication and deadline. It sends the refusal
+// if one of them or next fails.
 func (s *Server) handle(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, hr *http.Request) {
 		started := time.Now()
@@ -99,11 +100,12 @@
 	return timeout, nil
 }
 
-// finish refuses a request that failed, and counts and logs the outcome.
+// finish counts and logs the outcome of a request, and refuses one that failed before
+// its response started.
 func (s *Server) finish(w http.ResponseWriter, r *request, err error) {
 	if errors.Is(err, errResponseStarted) {
 		s.metrics.count(string(codeOf(err)))
-		klog.V(1).InfoS("answer_ended_early", "request_id", r.id, "client_account", r.account.ID, "code", codeOf(err))
+		klog.V(1).InfoS("response_incomplete", "request_id", r.id, "client_account", r.account.ID, "code", codeOf(err))
 		return
 	}
 	if err != nil {
@@ -130,7 +132,7 @@
 }
 
 // retryAfter returns the time that callers should wait, as estimated from the queues,
-// or zero if the time in the table of codes applies.
+// or zero if the code's own RetryAfter applies.
 func (s *Server) retryAfter(r *request, code redwinghall.Code) time.Duration {
 	if code != redwinghall.CodeQueueFull && code != redwinghall.CodeDeadlineTooShort {
 		return 0
--- a/caller/sequence.go
+++ b/caller/sequence.go
@@ -5,10 +5,10 @@
 
 // sequence puts the chunks of one response in order.
 //
-// After a resume, chunks of the first endpoint may arrive late, twice or out of order
-// among those of the second, so that the caller would receive a chunk twice or miss
-// one. Each position is therefore delivered once and in order, and only chunks with
-// this request's id are accepted.
+// When a second endpoint resumes a response, chunks of the first may arrive late, twice
+// or out of order among those of the second, so that the caller would receive a chunk
+// twice or miss one. Each position is therefore delivered once and in order, and only
+// chunks with this request's id are accepted.
 type sequence struct {
 	requestID string
 	next      int
@@ -19,10 +19,10 @@
 	return &sequence{requestID: requestID, next: next}
 }
 
-// offer accepts a chunk and calls deliver for each chunk that is now next in order.
-// It returns false if the stream can no longer be relied on, because the chunk has
-// another request's id or too many chunks are out of order.
-func (q *sequence) offer(e Event, deliver func(position int, data []byte) error) (bool, error) {
+// add adds a chunk and calls deliver for each chunk that is now next in order. It
+// returns false if the stream is malformed: the chunk does not have this request's id,
+// or too many chunks are out of order.
+func (q *sequence) add(e Event, deliver func(position int, data []byte) error) (bool, error) {
 	if !e.HasID || e.RequestID != q.requestID {
 		return false, nil
 	}
--- a/caller/server.go
+++ b/caller/server.go
@@ -83,7 +83,7 @@
 )
 
 // NewServer returns a server. Calls that must run at most once run in the group calls,
-// because a call that was sent continues to its outcome even if the caller
+// so that a call that was sent continues until its outcome is known even if the caller
 // disconnects.
 func NewServer(config Config, selector *route.Selector, keeper *claim.Keeper, calls *kernel.Group) *Server {
 	config = config.WithDefaults()
@@ -112,9 +112,8 @@
 // the drain ends.
 //
 // If a draining router accepted such a request, it would close the connection without
-// a response, and whether a call that must run at most once was executed would be
-// unknown. A request that is refused at once was not executed and can be sent to
-// another router.
+// a response, and the caller could not tell whether its call was executed. A request
+// that is refused at once was not executed and can be sent to another router.
 func (s *Server) exceedsDrain(deadline time.Time) bool {
 	end := s.drainEnd.Load()
 	return end != nil && deadline.After(*end)
--- a/caller/service.go
+++ b/caller/service.go
@@ -89,6 +89,8 @@
 	return redwinghall.NewOpError("Server.callRepeatable", redwinghall.CodeEndpointFailed, last)
 }
 
+// callShared makes one attempt at a call. Unlike sendOnce, it uses the shared transport,
+// which reuses connections and may retry by itself.
 func (s *Server) callShared(ctx context.Context, timeout time.Duration, address string, r *request) (redwinghall.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/caller/sink.go
+++ b/caller/sink.go
@@ -19,12 +19,13 @@
 	chunk(position int, data []byte, more bool) error
 	// done ends a complete response.
 	done(position int) error
-	// abort tells the caller that the response ends incomplete. It returns false if
+	// abort ends an incomplete response with an error event. It returns false if
 	// nothing has been sent, so that a refusal can be sent instead.
 	abort(code redwinghall.Code) bool
 }
 
-// newSink returns the sink for a streamed or a buffered response, as requested.
+// newSink returns the sink for a streamed or a buffered response, whichever the caller
+// requested.
 func (s *Server) newSink(w http.ResponseWriter, r *request, req chatRequest) (sink, error) {
 	timer := &chunkTimer{series: r.series, last: r.started}
 	if !req.Stream {
@@ -38,8 +39,8 @@
 	return &streamSink{w: w, flusher: http.NewResponseController(w), timer: timer, id: r.id, first: first}, nil
 }
 
-// firstPosition returns the position at which to start: the one after the
-// Last-Event-ID header of a caller that resumes a stream, or zero.
+// firstPosition returns the position at which the response starts: zero, or the one
+// after the Last-Event-ID header if the caller resumes a stream.
 func firstPosition(r *request) (int, error) {
 	last := r.http.Header.Get(HeaderLastEvent)
 	if last == "" {
--- a/caller/stream_test.go
+++ b/caller/stream_test.go
@@ -34,7 +34,7 @@
 // While many responses are streamed at once, engines cut some after a few chunks, and
 // duplicate and reorder the chunks of others. Another group continues each of them.
 // Every response must be complete and equal to the expected text byte for byte.
-func TestCutAndShuffledStreamsStayWhole(t *testing.T) {
+func TestCutAndShuffledStreamsAreComplete(t *testing.T) {
 	d := startStreaming(t, 20*time.Second)
 	random := rand.New(rand.NewPCG(1, 2))
 	for i, vm := range d.VMs() {
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestWholeAnswerEqualsStream(t *testing.T) {
+func TestBufferedResponseEqualsStream(t *testing.T) {
 	d := startStreaming(t, 20*time.Second)
 	body := `{"model":"` + rwhtest.Model + `","max_tokens":5,"messages":[{"role":"user","content":"x"}]}`
 	r, err := d.Call(t.Context(), http.MethodPost, d.Caller(0), "/v1/chat/completions", body, nil)
