--- a/daemon/controller_settings.go
+++ b/daemon/controller_settings.go
@@ -6,7 +6,8 @@
 	"redwinghall"
 )
 
-// ControllerSettings are the settings of a controller.
+// ControllerSettings are the settings of a controller. Most of them have the same names
+// in endpoint.ManagerConfig and lease.Config, which describe them.
 type ControllerSettings struct {
 	Common
 	OperatorAddress string               `json:"operator_address"`
--- a/daemon/router.go
+++ b/daemon/router.go
@@ -142,7 +142,7 @@
 	}
 	granted, err := r.Node.RequestGrants(ctx, groups)
 	if err != nil {
-		klog.V(1).InfoS("no_grant", "cause", err.Error())
+		klog.V(1).InfoS("grant_request_failed", "cause", err.Error())
 		return
 	}
 	r.Selector.RecordGrants(granted, now.Add(ramp.GrantTTL))
@@ -161,13 +161,13 @@
 	}
 }
 
-// drain stops the router in this order: it informs the load balancer and the peers,
-// and then waits for requests in progress, for service calls whose callers have
+// drain informs the load balancer and the peers that the router is stopping. It then
+// waits, in this order, for requests in progress, for service calls whose callers have
 // disconnected, and for the outcomes that are not yet recorded in the table.
 //
 // If the router closed its listener at once, requests that the load balancer still
-// sends to it would fail. If it exited before outcomes are recorded, they could not be
-// looked up later.
+// sends to it would fail. If it exited before the outcomes are recorded, callers could
+// not retrieve them by a retry.
 func (r *Router) drain(callers *http.Server) {
 	klog.InfoS("router_draining", "id", r.settings.ID)
 	started := time.Now()
--- a/daemon/router_settings.go
+++ b/daemon/router_settings.go
@@ -7,7 +7,8 @@
 	"redwinghall/route"
 )
 
-// RouterSettings are the settings of a router.
+// RouterSettings are the settings of a router. Most of them have the same names in
+// caller.Config, which describes them.
 type RouterSettings struct {
 	Common
 	CallerAddress  string               `json:"caller_address"`
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -1,5 +1,5 @@
-// Package daemon implements the router and controller programs: their settings, tokens,
-// logging and signal handling, and how each is composed from the other packages.
+// Package daemon implements the router and controller programs: it reads their settings
+// and tokens, sets up logging and signal handling, and connects their components.
 package daemon
 
 import (
@@ -43,7 +43,7 @@
 func (t Token) validate(path string) redwinghall.Faults {
 	var f redwinghall.Faults
 	if (t.File == "") == (t.Env == "") {
-		return f.With(path, "want one of file and env")
+		return f.With(path, "want exactly one of file and env")
 	}
 	if _, err := t.Read(); err != nil {
 		return f.With(path, "the token cannot be read: %v", err)
--- a/daemon/stop_test.go
+++ b/daemon/stop_test.go
@@ -17,10 +17,10 @@
 	"redwinghall/standin/service"
 )
 
-// A call reaches a router just after the signal to stop, while the load balancer still
-// sends requests to it. The service takes longer than the drain. If the router accepted
-// the call without regard to the end of its drain, it would close the caller's
-// connection without a response when the drain ends.
+// A router that is draining receives a call, because the load balancer still sends
+// requests to it, and the service takes longer than the rest of the drain. If the router
+// accepted the call, it would close the caller's connection without a response when the
+// drain ends.
 func TestDrainingRouterRefusesRequestsItCannotFinish(t *testing.T) {
 	var platform string
 	d := rwhtest.Start(t, rwhtest.Options{PlatformVia: func(address string) string {
