--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -7,7 +7,7 @@
 )
 
 // Registry holds the plug-ins of one kind by name. Plug-ins register themselves in
-// their package's init function, so a program contains those that it imports.
+// their package's init function, so a program has those whose packages it imports.
 type Registry[T any] struct {
 	mu    sync.Mutex
 	kind  string
--- a/strictjson/strictjson.go
+++ b/strictjson/strictjson.go
@@ -91,8 +91,8 @@
 	return problems
 }
 
-// addFields adds a struct's fields by their JSON names. The fields of an embedded
-// struct are added at the same level.
+// addFields adds the types of a struct's fields by their JSON names. The fields of an
+// embedded struct are added as if they were the struct's own.
 func addFields(fields map[string]reflect.Type, t reflect.Type) {
 	for i := range t.NumField() {
 		field := t.Field(i)
--- a/tablehttp/head.go
+++ b/tablehttp/head.go
@@ -58,8 +58,8 @@
 }
 
 // Follower reads the head row periodically and publishes newer values to the
-// peers. Operators' changes reach a process in two ways: through the Follower and
-// through the exchange with peers.
+// peers. Operators' changes thus reach a process in two ways: from the table, and
+// from its peers.
 type Follower struct {
 	table    redwinghall.Table
 	node     *peer.Node
@@ -70,9 +70,9 @@
 	unreachable time.Time // since when the table has not responded; zero if it responds
 }
 
-// NewFollower returns a follower that reads about once in each interval if the
-// zone is small. In a larger zone each process reads less often, so that the load
-// on the platform does not grow with the number of processes.
+// NewFollower returns a follower that reads about once in each interval. If the
+// zone has more than a few processes, each of them reads less often, so that the
+// load on the platform does not grow with their number.
 func NewFollower(table redwinghall.Table, node *peer.Node, interval time.Duration) *Follower {
 	return &Follower{table: table, node: node, interval: interval}
 }
--- a/tablehttp/platform.go
+++ b/tablehttp/platform.go
@@ -40,7 +40,8 @@
 	Rows []redwinghall.Row `json:"rows"`
 }
 
-// ConflictResponse lists the keys because of which a commit failed (status 409).
+// ConflictResponse is the response to a commit that failed because the versions of
+// these keys have changed (status 409).
 type ConflictResponse struct {
 	Keys []string `json:"keys"`
 }
@@ -61,8 +62,8 @@
 type Client struct {
 	base   string
 	client *http.Client
-	// Timeout limits each call, so that a table that does not respond causes
-	// an error.
+	// Timeout limits each call, so that a call fails if the platform does not
+	// respond.
 	Timeout time.Duration
 }
 
@@ -131,7 +132,8 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.client.Do(request)
 	if err != nil {
-		// Idle connections may be dead too, and the next call must not use one.
+		// The idle connections may be broken too, so the next call must not use
+		// one.
 		c.client.CloseIdleConnections()
 		return redwinghall.NewOpError(op, kindOfSendError(err), err)
 	}
