--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
 // Package engine is a stand-in for model engines. Each VM listens on its own
-// address and executes orders. As the leader of a group it streams responses
-// that depend only on the request, so that a client can check them.
+// address and executes orders. The leader of a group streams responses that
+// depend only on the request, so that a client can check them.
 package engine
 
 import (
@@ -29,7 +29,7 @@
 	running        int
 	completed      uint64
 	dead           bool
-	missingFrom    time.Time     // when it was last killed, restarted or frozen; zero again after an order or Thaw
+	missingSince   time.Time     // when it was last killed, restarted or frozen; zero again after an order or Thaw
 	frozen         chan struct{} // closed by Thaw; nil while not frozen
 	lifetime       context.Context
 	cancelLifetime context.CancelFunc
@@ -74,7 +74,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.dead = true
-	v.missingFrom = time.Now()
+	v.missingSince = time.Now()
 	v.cancelLifetime()
 }
 
@@ -85,7 +85,7 @@
 	v.cancelLifetime()
 	v.dead = false
 	v.resetState()
-	v.missingFrom = time.Now()
+	v.missingSince = time.Now()
 }
 
 // Freeze suspends the engine: it sends nothing until Thaw.
@@ -94,7 +94,7 @@
 	defer v.mu.Unlock()
 	if v.frozen == nil {
 		v.frozen = make(chan struct{})
-		v.missingFrom = time.Now()
+		v.missingSince = time.Now()
 	}
 }
 
@@ -105,7 +105,7 @@
 	if v.frozen != nil {
 		close(v.frozen)
 		v.frozen = nil
-		v.missingFrom = time.Time{}
+		v.missingSince = time.Time{}
 	}
 }
 
@@ -202,13 +202,12 @@
 		v.readyAt = time.Now().Add(v.fleet.config.LoadTime.Std())
 	}
 	v.order = order
-	v.missingFrom = time.Time{}
+	v.missingSince = time.Time{}
 	writeJSON(w, struct{}{})
 }
 
-// missingMember reports whether a member of the leader's group is not available
-// to it (dead, frozen, restarted or ordered to another group), and returns the
-// earliest time since which one has been missing.
+// missingMember reports whether any member of a group is dead, frozen, restarted
+// or ordered to another group, and since when the first of them has been missing.
 func (v *VM) missingMember(order redwinghall.Order) (since time.Time, any bool) {
 	for _, m := range order.Members {
 		other := v.fleet.VM(m.VM)
@@ -217,7 +216,7 @@
 		}
 		other.mu.Lock()
 		away := other.dead || other.frozen != nil || other.order.Group != order.Group
-		from := other.missingFrom
+		from := other.missingSince
 		other.mu.Unlock()
 		if away && (!any || from.Before(since)) {
 			since, any = from, true
--- a/standin/engine/fleet.go
+++ b/standin/engine/fleet.go
@@ -46,8 +46,8 @@
 	Requests  int `json:"requests"`
 	Completed int `json:"completed"`
 	// Incomplete counts requests that started while a member of the group was
-	// missing; LongestIncomplete is the longest time for which one had been
-	// missing at that moment.
+	// missing. LongestIncomplete is the longest time that a member had been
+	// missing when such a request started.
 	Incomplete        int                  `json:"incomplete"`
 	LongestIncomplete redwinghall.Duration `json:"longest_incomplete"`
 	// Overloads counts restarts of cold engines because of too many concurrent
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -48,7 +48,7 @@
 	complete := s.run(resumeFrom(r))
 	v.finish(lifetime, complete)
 	if !complete {
-		panic(http.ErrAbortHandler) // closes the connection as a dead process does
+		panic(http.ErrAbortHandler) // closes the connection, as the end of a process does
 	}
 }
 
@@ -79,7 +79,7 @@
 		v.fleet.count(func(r *Record) { r.Overloads++ })
 		v.cancelLifetime()
 		v.resetState()
-		v.missingFrom = time.Now()
+		v.missingSince = time.Now()
 		return nil, "overloaded after a cold start"
 	}
 	return v.lifetime, ""
--- a/standin/layout/layout.go
+++ b/standin/layout/layout.go
@@ -18,8 +18,8 @@
 	"redwinghall/standin/engine"
 )
 
-// Offsets from a layout's base port. To all but the first two, the index of the
-// zone, pair or worker VM is added.
+// Offsets of the ports from a layout's base port. From portService on, each is the
+// first of a range, to which the index of the zone, pair or worker VM is added.
 const (
 	portPlatform       = 0
 	portEngineControl  = 1
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -19,8 +19,8 @@
 	Pass Mode = "pass"
 	// Cut closes all connections and refuses new ones.
 	Cut Mode = "cut"
-	// Blackhole keeps the existing connections open and drops all their data, as a
-	// middlebox does that lost its connection state. New connections work.
+	// Blackhole keeps the existing connections open and drops all their data, like
+	// a middlebox that has lost its connection state. New connections work.
 	Blackhole Mode = "swallow"
 	// Reset closes all connections with a TCP reset. New connections work.
 	Reset Mode = "reset"
@@ -39,10 +39,11 @@
 	conns map[*pair]bool
 }
 
+// pair is a connection from a client and the one to the target.
 type pair struct {
-	a, b       net.Conn
-	blackholed bool
-	ended      int // number of directions that have ended; the pair is deleted after both
+	client, target net.Conn
+	blackholed     bool
+	ended          int // number of directions that have ended; the pair is deleted after both
 }
 
 // New starts a link that listens on address and forwards to target until the
@@ -74,8 +75,8 @@
 	for p := range l.conns {
 		switch mode {
 		case Cut:
-			_ = p.a.Close()
-			_ = p.b.Close()
+			_ = p.client.Close()
+			_ = p.target.Close()
 		case Blackhole:
 			p.blackholed = true
 		case Reset:
@@ -86,7 +87,7 @@
 
 // reset closes both connections with a TCP reset.
 func (p *pair) reset() {
-	for _, conn := range []net.Conn{p.a, p.b} {
+	for _, conn := range []net.Conn{p.client, p.target} {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0) // makes Close send a reset
 		}
@@ -115,12 +116,12 @@
 			_ = conn.Close()
 			continue
 		}
-		p := &pair{a: conn, b: other}
+		p := &pair{client: conn, target: other}
 		if !l.add(p) {
 			continue
 		}
-		g.Go("link.copy", func(context.Context) error { l.copy(p, p.b, p.a); return nil })
-		g.Go("link.copy", func(context.Context) error { l.copy(p, p.a, p.b); return nil })
+		g.Go("link.copy", func(context.Context) error { l.copy(p, p.target, p.client); return nil })
+		g.Go("link.copy", func(context.Context) error { l.copy(p, p.client, p.target); return nil })
 	}
 }
 
@@ -129,8 +130,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.mode == Cut {
-		_ = p.a.Close()
-		_ = p.b.Close()
+		_ = p.client.Close()
+		_ = p.target.Close()
 		return false
 	}
 	l.conns[p] = true
@@ -139,7 +140,7 @@
 
 const bufferSize = 32 << 10
 
-// copy forwards one direction until either connection is closed.
+// copy forwards data in one direction until either connection is closed.
 func (l *Link) copy(p *pair, to, from net.Conn) {
 	buffer := make([]byte, bufferSize)
 	for {
@@ -148,7 +149,7 @@
 			break
 		}
 		l.mu.Lock()
-		delay, drop := l.delay, p.blackholed || (l.mode == OneWay && from == p.b)
+		delay, drop := l.delay, p.blackholed || (l.mode == OneWay && from == p.target)
 		l.mu.Unlock()
 		if drop {
 			continue
--- a/standin/load/load.go
+++ b/standin/load/load.go
@@ -154,9 +154,9 @@
 	if response.StatusCode != http.StatusOK {
 		return refusal(response)
 	}
-	answer := Response{Want: want}
-	answer.Text, answer.First, answer.Err = readStream(response.Body, started)
-	return answer
+	result := Response{Want: want}
+	result.Text, result.First, result.Err = readStream(response.Body, started)
+	return result
 }
 
 func refusal(response *http.Response) Response {
--- a/standin/passes/passes.go
+++ b/standin/passes/passes.go
@@ -1,6 +1,6 @@
 // Package passes simulates a group of model engines with continuous batching, in
-// virtual time. A pass consists of a few decode steps: requests in the decode
-// phase advance together, and prompts are read in chunks (chunked prefill).
+// virtual time. A pass consists of a few decode steps, in which all requests in
+// the decode phase advance together, and of the prefill of chunks of prompts.
 package passes
 
 import (
@@ -28,7 +28,7 @@
 	waiting    []*Request
 	passEnd    time.Time
 	busy       bool
-	// Stalled makes the group accept requests and never advance them.
+	// Stalled makes the group accept requests without ever advancing them.
 	Stalled bool
 }
 
--- a/standin/table/table.go
+++ b/standin/table/table.go
@@ -17,7 +17,8 @@
 type Faults struct {
 	// Down makes every operation fail as unavailable.
 	Down bool `json:"down"`
-	// Silent makes operations without effect or response until the faults change.
+	// Silent makes every operation block, without effect, until the faults change;
+	// the operation then fails with an unknown outcome.
 	Silent bool `json:"silent"`
 	// LoseAnswers is the number of commits that take effect without a response.
 	LoseAnswers int `json:"lose_answers"`
