--- a/cmd/standin/load.go
+++ b/cmd/standin/load.go
@@ -9,7 +9,7 @@
 )
 
 const loadHelp = `Sends chat completions from a number of workers and checks that every response is complete
-and equal to the one expected of the engine.
+and equal to the expected one.
 
 Example:
   standin load --router 127.0.0.1:21100 --key demo-key-drivers --model chain-advice --requests 500`
--- a/cmd/standin/process_test.go
+++ b/cmd/standin/process_test.go
@@ -260,10 +260,10 @@
 
 // Guards against a late call by a router that was suspended between its claim
 // and its call for longer than the caller waits. The table delays the claim's
-// response until the router is stopped with SIGSTOP; the caller retries through
-// the other zone; then SIGCONT. The router must not send the call, because no
-// caller waits for it any more, and must release the key. The deposit must be
-// executed once.
+// response until the router is suspended with SIGSTOP. The caller retries through
+// the other zone, and then the router is resumed with SIGCONT. It must not send
+// the call, because no caller waits for it any more, and must release the key.
+// The deposit must be executed once.
 func TestRouterFrozenBeforeTheCall(t *testing.T) {
 	d := startTwoZones(t)
 	d.postControl(d.layout.PlatformAddress(), table.PathFaults, table.Faults{HoldAnswers: true})
@@ -294,9 +294,8 @@
 
 // Guards against two controllers managing a zone at once: the lease holder is
 // suspended until its lease has expired and another controller has acquired it,
-// then resumes what it was doing. The fencing number must increase, no VM may be
-// in two groups, all groups must remain, and every response must be complete all
-// the time.
+// and is then resumed. The fencing number must increase, no VM may be in two
+// groups, all groups must remain, and every response must be complete throughout.
 func TestLeaseHolderFrozenPastExpiry(t *testing.T) {
 	d := startDeployment(t, layout.Layout{Zones: []string{"tartu"}, PairsPerZone: 2,
 		Domains: [][]int{{7}}, VMsPerGroup: 2, Replicas: 3})
@@ -322,7 +321,7 @@
 	require.Equal(t, 20, load.Run(t.Context(), d.loadConfig(20, 0, 1)).Correct)
 	require.NoError(t, frozen.Thaw())
 	require.Equal(t, 20, load.Run(t.Context(), d.loadConfig(20, 0, 1)).Correct)
-	d.eventually("the resumed controller knows the new holder", func() bool {
+	d.eventually("the resumed controller reports the new holder", func() bool {
 		s, err := d.operatorClient(1 - other).Status(t.Context())
 		return err == nil && s.LeaseHolder == d.layout.ControllerID(other)
 	})
@@ -345,10 +344,10 @@
 	d := startTwoZones(t)
 	d.postControl(d.layout.ServiceAddress(0), service.PathFaults, service.Faults{Delay: redwinghall.Duration(time.Second)})
 	g := kernel.NewGroup(t.Context())
-	var booked reply
+	var depositReply reply
 	g.Go("haulier", func(context.Context) error {
 		var err error
-		booked, err = d.postDeposit(0, "stop-1")
+		depositReply, err = d.postDeposit(0, "stop-1")
 		return err
 	})
 	c := d.loadConfig(8, 0)
@@ -361,7 +360,7 @@
 	d.eventually("the deposit's claim is held", func() bool { return d.claim("stop-1").State == redwinghall.ClaimHeld })
 	require.NoError(t, d.processSet.Stop(d.processes[d.layout.RouterID(0)]))
 	require.NoError(t, g.Wait())
-	require.Equal(t, http.StatusOK, booked.status)
+	require.Equal(t, http.StatusOK, depositReply.status)
 	r := <-result
 	require.Equal(t, r.Sent, r.Correct, r.String())
 	require.Equal(t, redwinghall.ClaimRan, d.claim("stop-1").State)
@@ -370,8 +369,8 @@
 // Guards against a router that loses the manifest or the state of its zone when
 // it restarts without access to the platform. Zone parnu is taken out of
 // service, the platform goes down, and a router of the zone restarts with only
-// its peers reachable. It must have generation 1 and know that its zone is out
-// of service.
+// its peers reachable. It must report generation 1 and that its zone is out of
+// service.
 func TestRestartedRouterLearnsFromPeersWithoutThePlatform(t *testing.T) {
 	d := startDeployment(t, layout.Layout{Zones: []string{"tartu", "parnu"}, PairsPerZone: 2,
 		Domains: [][]int{{2}, {2}}, VMsPerGroup: 2, Replicas: 1})
@@ -382,7 +381,7 @@
 	d.processSet.Kill(d.processes[d.layout.RouterID(pair)])
 	d.startProcess(layout.Launch{Name: d.layout.RouterID(pair), Program: "router",
 		Args: []string{"--settings", filepath.Join(d.dir, d.layout.RouterID(pair)+".json")}})
-	d.eventually("the restarted router knows the manifest and that its zone is out", func() bool {
+	d.eventually("the restarted router reports the manifest and that its zone is out of service", func() bool {
 		response, err := d.client.Get("http://" + d.layout.CallerAddress(pair) + "/readyz")
 		if err != nil {
 			return false
--- a/cmd/standin/steps.go
+++ b/cmd/standin/steps.go
@@ -271,8 +271,8 @@
 	return result.String(), nil
 }
 
-// stopRouter stops a router while it streams. The router must complete its
-// streams before it exits.
+// stopRouter stops a router while it streams responses, which it must complete
+// before it exits.
 func (s *scenario) stopRouter() (string, error) {
 	c := s.loadConfig(24, 5)
 	c.Tokens, c.Workers = 200, 24
