--- a/measure/downtime.go
+++ b/measure/downtime.go
@@ -71,9 +71,9 @@
 
 // recovered reports whether every group is healthy, the affected one has a new
 // generation, and the victim is in no group unless it was only restarted.
-func recovered(groups []operator.GroupStatus, hit operator.GroupStatus, victim string, action engine.Action) bool {
+func recovered(groups []operator.GroupStatus, affected operator.GroupStatus, victim string, action engine.Action) bool {
 	for _, g := range groups {
-		if !g.Healthy || (g.ID == hit.ID && g.Generation == hit.Generation) {
+		if !g.Healthy || (g.ID == affected.ID && g.Generation == affected.Generation) {
 			return false
 		}
 		for _, m := range g.Members {
--- a/measure/exchange.go
+++ b/measure/exchange.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	exchangeWarm = 3 * time.Second
-	exchangeTime = 8 * time.Second
-	targetGroups = 20 // per zone at the target size of 325 groups in 16 zones
-	targetNodes  = 22 // per zone at the target size of 360 nodes in 16 zones
+	exchangeWarmUp = 3 * time.Second
+	exchangeTime   = 8 * time.Second
+	targetGroups   = 20 // per zone at the target size of 325 groups in 16 zones
+	targetNodes    = 22 // per zone at the target size of 360 nodes in 16 zones
 )
 
 // measureExchange runs the nodes of one zone in this process, each with its own
@@ -71,12 +71,12 @@
 	publishGroups(nodes[0], groups)
 	g.Every("observe", time.Second, func(_ context.Context, now time.Time) {
 		for i := range groups {
-			word := redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Running: 12, Completed: uint64(now.Unix())}
-			nodes[i%count].Observe(word)
-			nodes[(i+1)%count].Observe(word)
+			health := redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Running: 12, Completed: uint64(now.Unix())}
+			nodes[i%count].Observe(health)
+			nodes[(i+1)%count].Observe(health)
 		}
 	})
-	time.Sleep(exchangeWarm)
+	time.Sleep(exchangeWarmUp)
 	return sampleZone(nodes, groups), nil
 }
 
@@ -159,7 +159,7 @@
 		if err != nil {
 			return nil, err
 		}
-		time.Sleep(exchangeWarm)
+		time.Sleep(exchangeWarmUp)
 		before, started := startedBytes(nodes), time.Now()
 		for i := range changeRounds {
 			nodes[i%targetNodes].Publish(peer.Entry{Key: peer.KeyManifest, Number: uint64(i + 1), Value: make([]byte, kib<<10)})
--- a/measure/main.go
+++ b/measure/main.go
@@ -1,7 +1,7 @@
 // Command measure runs the measurements of docs/CAPACITY.md and
 // docs/MEASUREMENTS.md on one machine, with stand-ins for the surrounding
-// systems. It fits a line to each series and writes JSON and plots. It also
-// contains simpler baselines of some mechanisms, to compare both in one run.
+// systems. It fits a line to each series and writes JSON and plots. For some
+// mechanisms it also measures a simpler baseline in the same run, for comparison.
 package main
 
 import (
--- a/measure/nodes.go
+++ b/measure/nodes.go
@@ -109,14 +109,14 @@
 
 // sample contains the resources that all processes have used so far.
 type sample struct {
-	at           time.Time
-	routers      []time.Duration
-	controllers  []time.Duration
-	counts       table.Counts
-	bytes        float64
-	routerMem    float64
-	contMem      float64
-	leaseHolders map[int]bool
+	at            time.Time
+	routers       []time.Duration
+	controllers   []time.Duration
+	counts        table.Counts
+	bytes         float64
+	routerMem     float64
+	controllerMem float64
+	leaseHolders  map[int]bool
 }
 
 func (d *deployment) sample() (sample, error) {
@@ -125,7 +125,7 @@
 	if out.routers, out.routerMem, err = usageOf(d.routers); err != nil {
 		return out, err
 	}
-	if out.controllers, out.contMem, err = usageOf(d.controllers); err != nil {
+	if out.controllers, out.controllerMem, err = usageOf(d.controllers); err != nil {
 		return out, err
 	}
 	for i := range d.layout.Pairs() {
@@ -207,7 +207,7 @@
 	r.holder = append(r.holder, Point{x, holders / float64(max(1, held))})
 	r.watcher = append(r.watcher, Point{x, watchers / max(1, x-float64(held))})
 	r.routerMem = append(r.routerMem, Point{x, after.routerMem})
-	r.controllerMem = append(r.controllerMem, Point{x, after.contMem})
+	r.controllerMem = append(r.controllerMem, Point{x, after.controllerMem})
 	r.bytes = append(r.bytes, Point{x, (after.bytes - before.bytes) / seconds / x})
 	r.reads = append(r.reads, Point{x, float64(after.counts.Reads-before.counts.Reads) / seconds})
 	r.commits = append(r.commits, Point{x, float64(after.counts.Commits-before.counts.Commits) / seconds})
--- a/measure/snapshot.go
+++ b/measure/snapshot.go
@@ -15,25 +15,26 @@
 	"redwinghall/route"
 )
 
-// registerCounts is the number of registers of each kind that a router holds.
-type registerCounts struct {
+// storeSize is the size of a router's store: the number of groups, each a
+// register, and of models and client accounts in the manifest.
+type storeSize struct {
 	groups, models, accounts int
 }
 
-func (c registerCounts) store() *peer.Store {
+func (s storeSize) store() *peer.Store {
 	store := peer.NewStore()
 	manifest := redwinghall.Manifest{Name: "measure"}
-	for i := range c.accounts {
+	for i := range s.accounts {
 		sum := sha256.Sum256([]byte(fmt.Sprint("key", i)))
 		manifest.ClientAccounts = append(manifest.ClientAccounts,
 			redwinghall.ClientAccount{ID: fmt.Sprintf("account-%d", i), KeySHA256: []string{hex.EncodeToString(sum[:])}})
 	}
-	for i := range c.models {
+	for i := range s.models {
 		manifest.Models = append(manifest.Models, redwinghall.Model{ID: fmt.Sprintf("model-%d", i), Version: "v1", VMsPerReplica: 4})
 	}
 	put(store, peer.KeyManifest, redwinghall.Accepted{Generation: 1, Manifest: manifest.WithDefaults()})
-	for i := range c.groups {
-		g := redwinghall.Group{ID: groupID(i), AvailabilityZone: "zone-a", Model: fmt.Sprintf("model-%d", i%c.models),
+	for i := range s.groups {
+		g := redwinghall.Group{ID: groupID(i), AvailabilityZone: "zone-a", Model: fmt.Sprintf("model-%d", i%s.models),
 			Generation: 1, Members: make([]redwinghall.Member, 4), MaxInFlight: 1 << 30, ColdInFlight: 1, WarmAfter: 1}
 		put(store, peer.KeyGroup("zone-a", g.ID), g)
 	}
@@ -48,27 +49,27 @@
 	store.Apply(peer.Entry{Key: key, Number: 1, Value: data})
 }
 
-// selector returns a router's group selector over these registers, with every
-// group healthy, and the store that contains them.
-func (c registerCounts) selector(now time.Time) (*route.Selector, *peer.Store) {
-	store := c.store()
-	b := route.NewSelector(route.SelectorConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
+// selector returns the group selector of a router with a store of this size, in
+// which every group is healthy, and the store.
+func (s storeSize) selector(now time.Time) (*route.Selector, *peer.Store) {
+	store := s.store()
+	selector := route.NewSelector(route.SelectorConfig{AvailabilityZone: "zone-a", Router: "router-1", AliveBound: time.Hour,
 		Ramp: ramp.SingleOwner{}, Picker: route.TwoChoices{}})
-	b.Rebuild(store)
+	selector.Rebuild(store)
 	health := peer.NewHealthCache()
-	for i := range c.groups {
+	for i := range s.groups {
 		health.Merge(redwinghall.GroupHealth{Group: groupID(i), Generation: 1, SeenAt: now, Ready: true, Completed: 10})
 	}
-	b.Refresh(now, health, []peer.Member{{ID: "router-1"}})
-	return b, store
+	selector.Refresh(now, health, []peer.Member{{ID: "router-1"}})
+	return selector, store
 }
 
-// measureSnapshot measures the time and the memory that building a new view
-// takes.
+// measureSnapshot measures the time and the memory that it takes to build a new
+// view from the store.
 func measureSnapshot(options) ([]Series, error) {
-	groups := sweep([]int{20, 80, 325}, func(n int) registerCounts { return registerCounts{n, 4, 50} })
-	models := sweep([]int{5, 20, 80}, func(n int) registerCounts { return registerCounts{20, n, 50} })
-	accounts := sweep([]int{10, 100, 1000}, func(n int) registerCounts { return registerCounts{20, 4, n} })
+	groups := sweep([]int{20, 80, 325}, func(n int) storeSize { return storeSize{n, 4, 50} })
+	models := sweep([]int{5, 20, 80}, func(n int) storeSize { return storeSize{20, n, 50} })
+	accounts := sweep([]int{10, 100, 1000}, func(n int) storeSize { return storeSize{20, 4, n} })
 	return []Series{
 		newSeries("by groups", "groups", "microseconds to build a view", groups.time),
 		newSeries("by models", "models", "microseconds to build a view", models.time),
@@ -82,14 +83,14 @@
 	time, memory []Point
 }
 
-func sweep(sizes []int, of func(int) registerCounts) sweepResult {
+func sweep(sizes []int, of func(int) storeSize) sweepResult {
 	var out sweepResult
 	for _, n := range sizes {
-		b, store := of(n).selector(time.Now())
+		selector, store := of(n).selector(time.Now())
 		r := testing.Benchmark(func(tb *testing.B) {
 			tb.ReportAllocs()
 			for range tb.N {
-				b.Rebuild(store)
+				selector.Rebuild(store)
 			}
 		})
 		runtime.GC()
@@ -105,14 +106,14 @@
 	var decision, refresh []Point
 	for _, n := range []int{20, 80, 160, 325} {
 		now := time.Now()
-		b, _ := registerCounts{n, 1, 10}.selector(now)
+		selector, _ := storeSize{n, 1, 10}.selector(now)
 		r := testing.Benchmark(func(tb *testing.B) {
 			for i := range tb.N {
-				s := b.PickPrefix("model-0", now, uint64(i)*0x9e3779b97f4a7c15+1)
-				if s == nil {
+				group := selector.PickPrefix("model-0", now, uint64(i)*0x9e3779b97f4a7c15+1)
+				if group == nil {
 					tb.Fatal("no group was chosen")
 				}
-				s.Release()
+				group.Release()
 			}
 		})
 		decision = append(decision, Point{float64(n), float64(r.NsPerOp())})
@@ -126,7 +127,7 @@
 		}
 		r = testing.Benchmark(func(tb *testing.B) {
 			for range tb.N {
-				b.Refresh(now, health, members)
+				selector.Refresh(now, health, members)
 			}
 		})
 		refresh = append(refresh, Point{float64(n), float64(r.NsPerOp()) / 1e3})
--- a/measure/zone.go
+++ b/measure/zone.go
@@ -146,16 +146,16 @@
 	return out, errors.Join(requests.Wait(), g.Wait())
 }
 
-func (b *secondCounts) add(second int, a load.Response, took time.Duration) {
+func (c *secondCounts) add(second int, a load.Response, took time.Duration) {
 	switch {
 	case a.Code != "":
-		b.refused[second].Add(1)
+		c.refused[second].Add(1)
 	case a.Err != nil || a.Text != a.Want:
-		b.failed[second].Add(1)
+		c.failed[second].Add(1)
 	case took > zoneLate:
-		b.late[second].Add(1)
+		c.late[second].Add(1)
 	default:
-		b.inTime[second].Add(1)
+		c.inTime[second].Add(1)
 	}
 }
 
