--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -111,7 +111,7 @@
 // request would stay "in progress" forever.
 func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
 	f := newFixture(t)
-	f.table.SetFaults(table.Faults{LoseAnswers: 1})
+	f.table.SetFaults(table.Faults{LoseResponses: 1})
 	require.Equal(t, claim.Proceed, mustClaim(t, f.one, time.Now()).Verdict)
 }
 
--- a/endpoint/manager_test.go
+++ b/endpoint/manager_test.go
@@ -149,7 +149,7 @@
 // two groups would share a VM.
 func TestLostTableAnswersFormNoGroupTwice(t *testing.T) {
 	d := rwhtest.Start(t, rwhtest.Options{VMsPerGroup: 2, Replicas: 4, VMsPerZone: 9})
-	d.Table.SetFaults(table.Faults{LoseAnswers: 12})
+	d.Table.SetFaults(table.Faults{LoseResponses: 12})
 	d.Submit("v1")
 	require.Len(t, groups(t, d, "tartu"), 4)
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -107,7 +107,7 @@
 // controllers could order the same VMs into different groups.
 func TestLostAnswerToAcquiring(t *testing.T) {
 	tab := table.New()
-	tab.SetFaults(table.Faults{LoseAnswers: 1})
+	tab.SetFaults(table.Faults{LoseResponses: 1})
 	a := newController(tab, "a", 0)
 	require.NoError(t, a.step(start, "1"))
 	require.True(t, a.state.Holds(start))
@@ -178,7 +178,7 @@
 	c := p.controllers[i]
 	switch rapid.IntRange(0, 7).Draw(rt, "what") {
 	case 0:
-		p.table.SetFaults(table.Faults{LoseAnswers: 1})
+		p.table.SetFaults(table.Faults{LoseResponses: 1})
 	case 1:
 		p.table.SetFaults(table.Faults{LateWrites: 1})
 	case 2:
--- a/operator/acceptor_test.go
+++ b/operator/acceptor_test.go
@@ -57,7 +57,7 @@
 // manifest lost a race although it is in force.
 func TestLostAnswerIsNoRace(t *testing.T) {
 	tab := table.New()
-	tab.SetFaults(table.Faults{LoseAnswers: 1})
+	tab.SetFaults(table.Faults{LoseResponses: 1})
 	got, err := acceptor(tab).SubmitManifest(t.Context(), operator.Submission{SubmitID: "a"}, manifest("a"))
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), got.Number)
@@ -113,7 +113,7 @@
 		for i := range rapid.IntRange(1, 25).Draw(rt, "submissions") {
 			switch rapid.IntRange(0, 4).Draw(rt, "failure") {
 			case 0:
-				tab.SetFaults(table.Faults{LoseAnswers: rapid.IntRange(1, 5).Draw(rt, "lost")})
+				tab.SetFaults(table.Faults{LoseResponses: rapid.IntRange(1, 5).Draw(rt, "lost")})
 			case 1:
 				tab.SetFaults(table.Faults{LateWrites: rapid.IntRange(1, 5).Draw(rt, "late")})
 			case 2:
--- a/standin/table/table.go
+++ b/standin/table/table.go
@@ -20,13 +20,13 @@
 	// Silent makes every operation block, without effect, until the faults change;
 	// the operation then fails with an unknown outcome.
 	Silent bool `json:"silent"`
-	// LoseAnswers is the number of commits that take effect without a response.
-	LoseAnswers int `json:"lose_answers"`
+	// LoseResponses is the number of commits that take effect without a response.
+	LoseResponses int `json:"lose_answers"`
 	// LateWrites is the number of commits that get no response and take effect
 	// only after LateBy, or at ApplyLate if LateBy is 0.
 	LateWrites int                  `json:"late_writes"`
 	LateBy     redwinghall.Duration `json:"late_by"`
-	// Skip is the number of commits without a fault before LoseAnswers and
+	// Skip is the number of commits without a fault before LoseResponses and
 	// LateWrites apply.
 	Skip int `json:"skip"`
 	// HoldAnswers delays the responses of commits, which take effect at once,
@@ -201,8 +201,8 @@
 		return redwinghall.NewOpError("Table.Commit", redwinghall.TableUnknown, errSilent)
 	}
 	conflicts := t.apply(txn)
-	if faulty && t.faults.LoseAnswers > 0 {
-		t.faults.LoseAnswers--
+	if faulty && t.faults.LoseResponses > 0 {
+		t.faults.LoseResponses--
 		return redwinghall.NewOpError("Table.Commit", redwinghall.TableUnknown, errSilent)
 	}
 	if len(conflicts) > 0 {
