--- a/cmd/standin/process_test.go
+++ b/cmd/standin/process_test.go
@@ -266,7 +266,7 @@
 // The deposit must be executed once.
 func TestRouterFrozenBeforeTheCall(t *testing.T) {
 	d := startTwoZones(t)
-	d.postControl(d.layout.PlatformAddress(), table.PathFaults, table.Faults{HoldAnswers: true})
+	d.postControl(d.layout.PlatformAddress(), table.PathFaults, table.Faults{HoldResponses: true})
 	ctx, cancel := context.WithCancel(t.Context())
 	g := kernel.NewGroup(ctx)
 	g.Go("haulier", func(context.Context) error {
--- a/standin/table/table.go
+++ b/standin/table/table.go
@@ -29,9 +29,9 @@
 	// Skip is the number of commits without a fault before LoseResponses and
 	// LateWrites apply.
 	Skip int `json:"skip"`
-	// HoldAnswers delays the responses of commits, which take effect at once,
+	// HoldResponses delays the responses of commits, which take effect at once,
 	// until the faults change.
-	HoldAnswers bool `json:"hold_answers"`
+	HoldResponses bool `json:"hold_answers"`
 	// Latency is added to each operation.
 	Latency redwinghall.Duration `json:"latency"`
 }
@@ -175,10 +175,10 @@
 	return err
 }
 
-// holdResponse blocks until the faults change if HoldAnswers is set.
+// holdResponse blocks until the faults change if HoldResponses is set.
 func (t *Table) holdResponse(ctx context.Context) {
 	t.mu.Lock()
-	held, changed := t.faults.HoldAnswers, t.faultsChanged
+	held, changed := t.faults.HoldResponses, t.faultsChanged
 	t.mu.Unlock()
 	if !held {
 		return
