--- a/measure/zone.go
+++ b/measure/zone.go
@@ -146,11 +146,11 @@
 	return out, errors.Join(requests.Wait(), g.Wait())
 }
 
-func (c *secondCounts) add(second int, a load.Response, took time.Duration) {
+func (c *secondCounts) add(second int, response load.Response, took time.Duration) {
 	switch {
-	case a.Code != "":
+	case response.Code != "":
 		c.refused[second].Add(1)
-	case a.Err != nil || a.Text != a.Want:
+	case response.Err != nil || response.Text != response.Want:
 		c.failed[second].Add(1)
 	case took > zoneLate:
 		c.late[second].Add(1)
