--- a/node/node_test.go
+++ b/node/node_test.go
@@ -24,14 +24,14 @@
 
 // deployment is one node with a fake store and fake endpoints.
 type deployment struct {
-	t        *testing.T
-	store    *platformtest.Store
-	ledger   *platformtest.RunCounter
-	engines  []*platformtest.Endpoint
-	settings platformtest.NodeSettings
-	path     string
-	stop     context.CancelFunc
-	done     chan error
+	t          *testing.T
+	store      *platformtest.Store
+	runCounter *platformtest.RunCounter
+	engines    []*platformtest.Endpoint
+	settings   platformtest.NodeSettings
+	path       string
+	stop       context.CancelFunc
+	done       chan error
 }
 
 const answerEvents = 5
@@ -72,7 +72,7 @@
 // and whose booking desk takes the time given by desk.
 func deployWith(t *testing.T, engine, desk platformtest.EndpointConfig) *deployment {
 	t.Helper()
-	d := &deployment{t: t, store: platformtest.NewStore(), ledger: platformtest.NewRunCounter(), done: make(chan error, 1)}
+	d := &deployment{t: t, store: platformtest.NewStore(), runCounter: platformtest.NewRunCounter(), done: make(chan error, 1)}
 	t.Cleanup(d.store.Close)
 	require.NoError(t, d.store.Put("op", "config", platformtest.Configuration(1, "key-1")))
 	for i := range 3 {
@@ -94,7 +94,7 @@
 }
 
 func (d *deployment) add(config platformtest.EndpointConfig) {
-	e, err := platformtest.NewEndpoint(config, d.store, d.ledger)
+	e, err := platformtest.NewEndpoint(config, d.store, d.runCounter)
 	require.NoError(d.t, err)
 	d.t.Cleanup(e.Close)
 	if config.Engine {
@@ -124,12 +124,12 @@
 }
 
 func (d *deployment) ready() bool {
-	answer, err := http.Get("http://" + d.settings.ReadinessAddress + platform.PathReadiness)
+	response, err := http.Get("http://" + d.settings.ReadinessAddress + platform.PathReadiness)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = answer.Body.Close() }() // the body isn't read
-	return answer.StatusCode == http.StatusOK
+	defer func() { _ = response.Body.Close() }() // the body isn't read
+	return response.StatusCode == http.StatusOK
 }
 
 // waitOpen waits until a group is open.
@@ -151,12 +151,12 @@
 	d.t.Helper()
 	d.waitOpen()
 	require.Eventually(d.t, func() bool {
-		status, _ := d.ask(http.MethodPost, "/stream/x", "warm-up")
+		status, _ := d.request(http.MethodPost, "/stream/x", "warm-up")
 		return status == http.StatusOK
 	}, 5*time.Second, 50*time.Millisecond)
 }
 
-func (d *deployment) ask(method, path, id string) (int, string) {
+func (d *deployment) request(method, path, id string) (int, string) {
 	r, err := platformtest.NewRequest(context.Background(), method, d.settings.CallerAddress, path, nil, platformtest.RequestInfo{
 		ID: id, Key: "key-1", Model: "m0", Timeout: 5 * time.Second, Prompt: 100, Answer: 30,
 	})
@@ -167,16 +167,16 @@
 // send returns the response that a caller receives. The status is 0 if the response is
 // missing or incomplete.
 func (d *deployment) send(client *http.Client, r *http.Request) (status int, body string) {
-	answer, err := client.Do(r)
+	response, err := client.Do(r)
 	if err != nil {
 		return 0, ""
 	}
-	defer func() { _ = answer.Body.Close() }() // the body was read or the read failed
-	data, err := io.ReadAll(answer.Body)
+	defer func() { _ = response.Body.Close() }() // the body was read or the read failed
+	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, string(data)
 	}
-	return answer.StatusCode, string(data)
+	return response.StatusCode, string(data)
 }
 
 func TestNodeServesStreamsAndBookings(t *testing.T) {
@@ -184,13 +184,13 @@
 	d := deploy(t)
 	d.start()
 	d.waitServing()
-	status, body := d.ask(http.MethodPost, "/stream/x", "ask-1")
+	status, body := d.request(http.MethodPost, "/stream/x", "ask-1")
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, platformtest.FullResponse("ask-1", answerEvents), body)
-	status, body = d.ask(http.MethodPost, "/book/x", "book-1")
+	status, body = d.request(http.MethodPost, "/book/x", "book-1")
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, "done book-1", body)
-	require.Equal(t, 1, d.ledger.Runs("book-1"))
+	require.Equal(t, 1, d.runCounter.Runs("book-1"))
 	metrics, err := http.Get(fmt.Sprintf("http://%s:%d%s", d.settings.IP, node.MetricsPort, node.MetricsPath))
 	require.NoError(t, err)
 	data, err := io.ReadAll(metrics.Body)
@@ -209,7 +209,7 @@
 	d.store.DropHistory()
 	require.NoError(t, d.store.Put("op", "config", platformtest.Configuration(2, "key-2")))
 	require.Eventually(t, func() bool {
-		status, _ := d.ask(http.MethodGet, "/look/x", "look-1")
+		status, _ := d.request(http.MethodGet, "/look/x", "look-1")
 		return status == http.StatusUnauthorized
 	}, 4*time.Second, 50*time.Millisecond)
 }
@@ -226,7 +226,7 @@
 			d.waitServing()
 			d.store.SetFaults(faults)
 			for i := range 20 {
-				status, body := d.ask(http.MethodPost, "/stream/x", fmt.Sprint("ask-", i))
+				status, body := d.request(http.MethodPost, "/stream/x", fmt.Sprint("ask-", i))
 				require.Equal(t, http.StatusOK, status)
 				require.Equal(t, platformtest.FullResponse(fmt.Sprint("ask-", i), answerEvents), body)
 				time.Sleep(100 * time.Millisecond)
@@ -245,17 +245,17 @@
 	d.waitServing()
 	var mu sync.Mutex
 	broken, answered := 0, 0
-	asking, stopAsking := context.WithCancel(context.Background())
-	g := kernel.NewGroup(asking)
+	calling, stopCalling := context.WithCancel(context.Background())
+	g := kernel.NewGroup(calling)
 	for i := range 4 {
 		g.Go("caller", func(ctx context.Context) error {
 			for n := 0; ctx.Err() == nil; n++ {
 				id := fmt.Sprintf("ask-%d-%d", i, n)
-				status, body := d.ask(http.MethodPost, "/stream/x", id)
+				status, body := d.request(http.MethodPost, "/stream/x", id)
 				mu.Lock()
 				if status == http.StatusOK && body == platformtest.FullResponse(id, answerEvents) {
 					answered++
-				} else if d.ledger.Runs(id) > 0 {
+				} else if d.runCounter.Runs(id) > 0 {
 					broken++
 				}
 				mu.Unlock()
@@ -267,7 +267,7 @@
 	d.stop()
 	require.Eventually(t, func() bool { return !d.ready() }, time.Second, 5*time.Millisecond)
 	require.NoError(t, <-d.done)
-	stopAsking()
+	stopCalling()
 	require.NoError(t, g.Wait())
 	require.Zero(t, broken)
 	require.Greater(t, answered, 20)
@@ -282,6 +282,6 @@
 	d.waitServing()
 	require.NoError(t, os.WriteFile(d.path, []byte("node_name=\n"), 0o600))
 	time.Sleep(3500 * time.Millisecond)
-	status, _ := d.ask(http.MethodGet, "/look/x", "look-1")
+	status, _ := d.request(http.MethodGet, "/look/x", "look-1")
 	require.Equal(t, http.StatusOK, status)
 }
