--- a/measure/claims.go
+++ b/measure/claims.go
@@ -20,7 +20,8 @@
 )
 
 // measureClaims makes bookings at several rates through the claim keepers of six
-// routers and counts the table operations.
+// routers and counts the table operations. A booking claims a key and records a
+// response.
 func measureClaims(options) ([]Series, error) {
 	var commits, rows, reads, wait []Point
 	for _, rate := range []int{6, 100, 300, 1000} {
