--- a/caller/once_test.go
+++ b/caller/once_test.go
@@ -42,7 +42,7 @@
 	g := kernel.NewGroup(t.Context())
 	for i := range retries {
 		g.Go("book", func(context.Context) error {
-			r, err := d.Book(i%2, "deposit-1")
+			r, err := d.PostDeposit(i%2, "deposit-1")
 			replies <- r
 			return err
 		})
@@ -57,7 +57,7 @@
 	}
 	require.Equal(t, 1, d.Runs("deposit-1"))
 	require.Eventually(t, func() bool {
-		r, err := d.Book(1, "deposit-1")
+		r, err := d.PostDeposit(1, "deposit-1")
 		return err == nil && r.Status == http.StatusOK && r.Header.Get(caller.HeaderReplayed) == "true"
 	}, time.Minute, 5*time.Millisecond)
 	require.Equal(t, 1, d.Runs("deposit-1"))
@@ -71,12 +71,12 @@
 	for _, s := range d.Services {
 		s.SetFaults(service.Faults{CutAfterRun: 1})
 	}
-	r, err := d.Book(0, "credit-1")
+	r, err := d.PostDeposit(0, "credit-1")
 	require.NoError(t, err)
 	require.Equal(t, redwinghall.CodeOutcomeUnknown, codeOf(t, r))
 	for i := range 2 {
 		require.Eventually(t, func() bool {
-			r, err := d.Book(i, "credit-1")
+			r, err := d.PostDeposit(i, "credit-1")
 			return err == nil && codeOf(t, r) == redwinghall.CodeOutcomeUnknown
 		}, time.Minute, 5*time.Millisecond)
 	}
@@ -103,7 +103,7 @@
 		return len(endpoints) == 1 && endpoints[0].Address == address
 	}, time.Minute, 5*time.Millisecond)
 	for _, key := range []string{"a", "b", "c", "d"} {
-		_, err := d.Book(0, key)
+		_, err := d.PostDeposit(0, key)
 		require.NoError(t, err)
 	}
 	counted := map[string]int{}
@@ -170,7 +170,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	g := kernel.NewGroup(t.Context())
 	g.Go("caller", func(context.Context) error {
-		_, err := d.Call(ctx, http.MethodPost, d.Caller(0), "/v1/services/"+rwhtest.Service+"/deposits",
+		_, err := d.Call(ctx, http.MethodPost, d.CallerAddress(0), "/v1/services/"+rwhtest.Service+"/deposits",
 			`{"amount":50}`, map[string]string{caller.HeaderIdempotency: "gone-1"})
 		if err == nil {
 			t.Error("the caller received a response although it should have disconnected before")
@@ -183,7 +183,7 @@
 	var r rwhtest.Reply
 	d.Eventually("the call has an outcome", func() bool {
 		var err error
-		r, err = d.Book(1, "gone-1")
+		r, err = d.PostDeposit(1, "gone-1")
 		return err == nil && (r.Status == http.StatusOK || codeOf(t, r) != redwinghall.CodeInProgress)
 	})
 	require.Equal(t, http.StatusOK, r.Status, r.Body)
@@ -209,7 +209,7 @@
 		g.Go("book", func(ctx context.Context) error {
 			key := "race-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
 			timeout := time.Duration(i) * 100 * time.Microsecond
-			r, err := d.Call(ctx, http.MethodPost, d.Caller(i%2), "/v1/services/"+rwhtest.Service+"/deposits", `{}`,
+			r, err := d.Call(ctx, http.MethodPost, d.CallerAddress(i%2), "/v1/services/"+rwhtest.Service+"/deposits", `{}`,
 				map[string]string{caller.HeaderIdempotency: key, caller.HeaderTimeout: (timeout + time.Microsecond).String()})
 			if err != nil {
 				return err
@@ -246,7 +246,7 @@
 func TestTableOutageRefusesNotRun(t *testing.T) {
 	d := twoZones(t)
 	d.Table.SetFaults(table.Faults{Down: true})
-	r, err := d.Book(0, "storm-1")
+	r, err := d.PostDeposit(0, "storm-1")
 	require.NoError(t, err)
 	require.Equal(t, redwinghall.CodeClaimsUnavailable, codeOf(t, r))
 	require.NotEmpty(t, r.Header.Get("Retry-After"))
@@ -257,7 +257,7 @@
 
 	d.Table.SetFaults(table.Faults{})
 	d.Eventually("the deposit runs", func() bool {
-		r, err := d.Book(1, "storm-1")
+		r, err := d.PostDeposit(1, "storm-1")
 		return err == nil && r.Status == http.StatusOK
 	})
 	require.Equal(t, 1, d.Runs("storm-1"))
@@ -283,7 +283,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r, err := d.Call(t.Context(), http.MethodPost, d.Caller(0), tt.path, tt.body, tt.header)
+			r, err := d.Call(t.Context(), http.MethodPost, d.CallerAddress(0), tt.path, tt.body, tt.header)
 			require.NoError(t, err)
 			require.Equal(t, tt.want, codeOf(t, r))
 			info, _ := tt.want.Info()
--- a/daemon/stop_test.go
+++ b/daemon/stop_test.go
@@ -23,7 +23,7 @@
 // drain ends.
 func TestDrainingRouterRefusesRequestsItCannotFinish(t *testing.T) {
 	var platform string
-	d := rwhtest.Start(t, rwhtest.Options{PlatformVia: func(address string) string {
+	d := rwhtest.Start(t, rwhtest.Options{PlatformProxy: func(address string) string {
 		platform = address
 		return address
 	}})
