--- a/soak/balancer.go
+++ b/soak/balancer.go
@@ -51,11 +51,11 @@
 	if err != nil {
 		return false
 	}
-	answer, err := b.client.Do(r)
+	response, err := b.client.Do(r)
 	if err != nil {
 		return false
 	}
-	return answer.Body.Close() == nil && answer.StatusCode == http.StatusOK
+	return response.Body.Close() == nil && response.StatusCode == http.StatusOK
 }
 
 // pickNode returns the node for a new connection of a caller in a zone. It avoids
@@ -74,8 +74,8 @@
 }
 
 // candidates returns the nodes that receive new connections of a zone's callers: the
-// zone's nodes in rotation. If fewer than half of its nodes are in rotation, these are
-// all of its nodes; if none is, the nodes in rotation of the other zones.
+// zone's nodes in rotation. If fewer than half of its nodes are in rotation, it returns
+// all of them; if none is, the nodes in rotation of the other zones, if there are any.
 func (b *balancer) candidates(zone string) []*nodeProcess {
 	var all, inRotation, otherZones []*nodeProcess
 	for _, n := range b.nodes {
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -72,14 +72,14 @@
 	case !a.incomplete && a.body == want:
 		r.served++
 	case !a.incomplete:
-		r.violations = append(r.violations, fmt.Sprintf("%s got a complete answer with the wrong content: %q", a.id, a.body))
+		r.violations = append(r.violations, fmt.Sprintf("%s got a complete response with the wrong content: %q", a.id, a.body))
 	case !strings.HasPrefix(want, a.body):
-		r.violations = append(r.violations, fmt.Sprintf("%s got a partial answer with the wrong content: %q", a.id, a.body))
+		r.violations = append(r.violations, fmt.Sprintf("%s got a partial response with the wrong content: %q", a.id, a.body))
 	}
 }
 
-// finish checks what is known only at the end, which requests the endpoints executed,
-// and returns all violations.
+// finish checks how often the endpoints executed each request, which is final only after
+// the run, and returns all violations.
 func (r *results) finish(runs *platformtest.RunCounter) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,8 +109,8 @@
 	return r.attempts, r.served
 }
 
-// runCallers runs callers that send requests until ctx ends. Each keeps its connection
-// open as long as its node responds.
+// runCallers runs callers that send requests until ctx ends. Each reuses its connection
+// as long as its node serves its requests.
 func (d *deployment) runCallers(ctx context.Context, r *results, name string) error {
 	g := kernel.NewGroup(ctx)
 	for i := range callerCount {
@@ -159,11 +159,11 @@
 		a.incomplete = true
 		return
 	}
-	answer, err := c.client.Do(r)
+	response, err := c.client.Do(r)
 	if err != nil {
 		return
 	}
-	defer func() { _ = answer.Body.Close() }() // the body was read, or reading failed
-	body, err := io.ReadAll(answer.Body)
-	a.status, a.body, a.incomplete = answer.StatusCode, string(body), err != nil
+	defer func() { _ = response.Body.Close() }() // the body was read, or reading failed
+	body, err := io.ReadAll(response.Body)
+	a.status, a.body, a.incomplete = response.StatusCode, string(body), err != nil
 }
--- a/soak/world.go
+++ b/soak/deployment.go
@@ -22,7 +22,7 @@
 
 // Sizes of the deployment, chosen so that a few dozen connections keep it busy.
 const (
-	enginesPerZone       = 5 // groups of two, and a spare
+	enginesPerZone       = 5 // two groups of two, and a spare
 	plainServicesPerZone = 2
 	responseEvents       = 12
 	eventInterval        = 15 * time.Millisecond
@@ -37,10 +37,10 @@
 	Seed uint64
 	// Bin is the directory of the node program, Dir that of settings and logs.
 	Bin, Dir string
-	// Plan is what the run does; empty means PlanFaults.
+	// Plan selects faults or planned stops; empty means PlanFaults.
 	Plan Plan
-	// Length is how long faults or stops are started; a phase without faults follows
-	// PlanFaults.
+	// Length is how long new faults or stops are started. A run of PlanFaults then
+	// continues without faults.
 	Length time.Duration
 	// Host is the prefix of the run's loopback addresses, such as "127.10.1."; runs at the
 	// same time need different ones.
@@ -89,7 +89,7 @@
 	faults          []string
 	// lastNodeFault is when a fault or planned stop of a node last ended.
 	lastNodeFault time.Time
-	// violations are those that faults detected.
+	// violations are those detected while faults are injected.
 	violations []string
 }
 
--- a/soak/promise.go
+++ b/soak/exchange.go
@@ -23,13 +23,13 @@
 
 func (x *exchange) served() bool { return x.status == http.StatusOK && !x.incomplete }
 
-// timedOut reports whether the attempt took at least the timeout of its caller and
-// its route.
+// timedOut reports whether the attempt reached the timeout, which is the same for the
+// caller and the route.
 func (x *exchange) timedOut() bool {
 	return x.deadlineExceeded || x.ended.Sub(x.sent) >= platformtest.RouteTimeout
 }
 
-// describe returns a message on the attempt, with its times relative to the last
+// describe returns a message about the attempt, with its times relative to the last
 // SIGTERM of its node.
 func (x *exchange) describe(what string) string {
 	connection := "new"
@@ -60,7 +60,7 @@
 	switch {
 	case x.sent.IsZero() || x.timedOut():
 	case x.status != 0 && x.incomplete:
-		c.violations = append(c.violations, x.describe("got a truncated answer"))
+		c.violations = append(c.violations, x.describe("got a truncated response"))
 	case x.status == 0:
 		c.unansweredExchanges = append(c.unansweredExchanges, x)
 	}
@@ -73,7 +73,7 @@
 	c.violations = append(c.violations, n.settings.Node+" did not exit within its grace period and was killed")
 }
 
-// recordRequest records the result of a request, including its retry.
+// recordRequest records whether a request was served, by its first attempt or its retry.
 func (c *stopChecker) recordRequest(served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,11 +83,12 @@
 	}
 }
 
-// finish checks what is known only at the end and fills in the report.
+// finish checks whether the endpoints executed unanswered or refused requests, which is
+// final only after the run, and fills in the report.
 func (c *stopChecker) finish(runs *platformtest.RunCounter, report *Report) {
 	for _, x := range c.unansweredExchanges {
 		if runs.Runs(x.id) > 0 {
-			c.violations = append(c.violations, x.describe("ran and got no answer"))
+			c.violations = append(c.violations, x.describe("ran and got no response"))
 		}
 	}
 	report.Violations = c.results.finish(runs)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -16,10 +16,10 @@
 	run  func(ctx context.Context, d *deployment, duration time.Duration) error
 }
 
-// Times of the faults. Faults start one after another and overlap.
+// Times of the faults. A fault may start before earlier ones have ended.
 const (
 	minFaultInterval = 200
-	maxFaultInterval = 1200 // milliseconds between faults
+	maxFaultInterval = 1200 // milliseconds between the starts of faults
 	minFaultDuration = 300
 	maxFaultDuration = 4000 // milliseconds
 )
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// replaceEndpoint stops an endpoint, removes its entry after the duration, as on
-// expiry, and starts another endpoint in its place.
+// replaceEndpoint stops an endpoint, removes its entry after the duration, as if
+// it had expired, and starts another endpoint in its place.
 func replaceEndpoint(ctx context.Context, d *deployment, duration time.Duration) error {
 	e := d.pickEndpoint()
 	d.recordFault("stop %s, replace it after %s", e.config.ID, duration)
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -14,8 +14,8 @@
 	limitWindow    = 4 * time.Second
 	limitOvershoot = 1.5
 	limitSlack     = 5 // requests
-	// limitPropagation is the time within which all nodes must have learned of a limit,
-	// counted from when no fault affects any of them.
+	// limitPropagation is the time within which all nodes must apply a limit, counted from
+	// when no fault affects any of them.
 	limitPropagation = 3 * time.Second
 	// minLimitDuration is long enough that complete windows lie within the time in which
 	// the limit is checked.
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// checkLimit checks the limit from limitPropagation after the last fault of a node: a
-// node that has just started or resumed cannot know the limit yet.
+// checkLimit checks the rate of requests only from limitPropagation after the last fault
+// of a node: a node that has just started or resumed may not have received the limit yet.
 func (d *deployment) checkLimit(e *linkedEndpoint, perSecond float64, limitSetAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/soak/run.go
+++ b/soak/run.go
@@ -11,7 +11,7 @@
 
 // Phases and bounds of a run.
 const (
-	startupTimeout = 25 * time.Second // until the first groups must serve
+	startupTimeout = 25 * time.Second // until each node must have served a stream
 	recoveryTime   = 8 * time.Second  // after the last fault, until the service must have recovered
 	measuredTime   = 3 * time.Second  // after recoveryTime, in which the ratio of served requests is measured
 	// minServedRatio is the ratio of requests that must be served during planned stops,
@@ -33,8 +33,8 @@
 	Faults              []string
 }
 
-// Run runs the plan with one seed. The error is about the run itself; violations by the
-// nodes are in the report.
+// Run runs a plan with one seed. It returns an error only if the run itself fails;
+// violations by the nodes are in the report.
 func Run(ctx context.Context, config Config) (Report, error) {
 	report := Report{Seed: config.Seed}
 	d, err := newDeployment(config)
@@ -123,7 +123,7 @@
 		a := attempt{id: fmt.Sprintf("withdrawn-%d", i), kind: "look"}
 		c.send(ctx, &a, withdrawnKey)
 		if a.status != http.StatusUnauthorized {
-			violations = append(violations, fmt.Sprintf("%s answered a request with a withdrawn key with status %d", d.nodeName(i), a.status))
+			violations = append(violations, fmt.Sprintf("%s responded to a request with a withdrawn key with status %d", d.nodeName(i), a.status))
 		}
 	}
 	return violations
