--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -24,7 +24,8 @@
   faults  random faults of nodes, links, endpoints and the store
   stops   no faults: operators stop nodes one after another, each before the
           previous stop has ended, and start each again; streams last for seconds.
-          No request may be cut off, and nine of ten must be served in the end.
+          No request may be cut off, and nine of ten must be served by the first
+          attempt or one retry.
 
 Examples:
   soak --bin bin --seed 1 --seeds 50 --length 30s
@@ -34,19 +35,19 @@
 
 // Exit codes.
 const (
-	exitDone   = 0
-	exitFailed = 1
-	exitUsage  = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
 type options struct {
-	Bin    string        `long:"bin" description:"folder with the node's program" default:"bin"`
+	Bin    string        `long:"bin" description:"folder with the node program" default:"bin"`
 	Seed   uint64        `long:"seed" description:"first seed" default:"1"`
-	Seeds  int           `long:"seeds" description:"how many seeds to play" default:"1"`
-	Length time.Duration `long:"length" description:"how long faults or stops come" default:"20s"`
-	Plan   string        `long:"plan" description:"what happens in a run" choice:"faults" choice:"stops" default:"faults"`
-	Nodes  int           `long:"nodes" description:"how many nodes run" default:"4"`
-	Dir    string        `long:"dir" description:"where logs and settings go; a new one if empty"`
+	Seeds  int           `long:"seeds" description:"number of seeds, one run each" default:"1"`
+	Length time.Duration `long:"length" description:"how long faults or stops are started" default:"20s"`
+	Plan   string        `long:"plan" description:"plan of each run" choice:"faults" choice:"stops" default:"faults"`
+	Nodes  int           `long:"nodes" description:"number of nodes" default:"4"`
+	Dir    string        `long:"dir" description:"folder for logs and settings (default: a new one)"`
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
@@ -63,16 +64,16 @@
 	var flagErr *flags.Error
 	if errors.As(err, &flagErr) && flagErr.Type == flags.ErrHelp {
 		_, _ = fmt.Fprintln(out, flagErr.Message)
-		return exitDone
+		return exitOK
 	}
 	if err != nil || o.Nodes < 1 || o.Nodes > 50 || o.Seeds < 1 || o.Length <= 0 {
 		_, _ = fmt.Fprintf(errOut, "soak: %v; want 1 to 50 nodes, at least one seed, and a length above 0\n", err)
 		return exitUsage
 	}
-	code := exitDone
+	code := exitOK
 	for i := range o.Seeds {
 		if !runSeed(o, o.Seed+uint64(i), out, errOut) { //nolint:gosec // few seeds
-			code = exitFailed
+			code = exitFailure
 		}
 	}
 	return code
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -33,8 +33,8 @@
 	{soak.PlanStops, 1, 6, 20 * time.Second, "a stopping node accepts requests that last beyond its grace period"},
 }
 
-// TestSoak runs each of these seeds for a short time, with real node processes, signals
-// and connections.
+// TestSoak runs the plan of each regression for a short time, with real node processes,
+// signals and connections.
 func TestSoak(t *testing.T) {
 	bin := t.TempDir()
 	build := exec.Command("go", "build", "-o", filepath.Join(bin, "node"), ".")
