--- a/rwhtest/call.go
+++ b/rwhtest/call.go
@@ -55,7 +55,7 @@
 }
 
 // Load sends streamed requests through the given routers and checks every
-// response against the one that the engine must send.
+// response against the expected one.
 func (d *Deployment) Load(requests, workers, tokens int, routers ...int) load.Result {
 	c := load.Config{Key: Key, Model: Model, Requests: requests, Workers: workers, Tokens: tokens, Timeout: waitLimit, Seed: 7}
 	for _, i := range routers {
--- a/rwhtest/deployment.go
+++ b/rwhtest/deployment.go
@@ -50,11 +50,11 @@
 	Controllers []*daemon.Controller
 	Client      *http.Client
 
-	callers     []string
-	operators   []string
-	stopRouter  []context.CancelFunc
-	routerEnded []chan error
-	vms         redwinghall.VMs
+	callerAddresses   []string
+	operatorAddresses []string
+	stopRouter        []context.CancelFunc
+	routerEnded       []chan error
+	vms               redwinghall.VMs
 }
 
 // stop stops the routers first, while the processes that they depend on still run.
@@ -70,8 +70,8 @@
 	require.NoError(d.t, d.group.Wait())
 }
 
-// StopRouter stops router i as planned and waits until it has ended. The channel
-// receives the result of its Run; cleanup of the test receives it too.
+// StopRouter stops router i gracefully and waits until it has ended. The returned channel
+// holds the result of the router's Run, which the test's cleanup checks as well.
 func (d *Deployment) StopRouter(i int) <-chan error {
 	d.stopRouter[i]()
 	out := make(chan error, 1)
@@ -82,11 +82,11 @@
 }
 
 // CallerAddress returns the address at which router i accepts callers' requests.
-func (d *Deployment) CallerAddress(i int) string { return d.callers[i] }
+func (d *Deployment) CallerAddress(i int) string { return d.callerAddresses[i] }
 
 // Operator returns a client for the operator API of controller i.
 func (d *Deployment) Operator(i int) *operator.Client {
-	return operator.NewClient(d.operators[i], OperatorToken)
+	return operator.NewClient(d.operatorAddresses[i], OperatorToken)
 }
 
 // VMs returns the platform's list of VMs as it was when the deployment started.
@@ -135,7 +135,8 @@
 }
 
 // WaitServing waits until every router can use all replicas of a version in its
-// zone, knows a service endpoint, and knows a gateway of each other zone.
+// zone, and its view contains an endpoint of the service and a gateway of each other
+// zone.
 func (d *Deployment) WaitServing(version string) {
 	d.t.Helper()
 	d.Eventually("every router can use its groups", func() bool {
--- a/rwhtest/session.go
+++ b/rwhtest/session.go
@@ -33,24 +33,24 @@
 var recordedHeaders = []string{"Content-Type", "Idempotency-Key", "Idempotency-Replayed", "Request-Timeout", "Retry-After", "X-Request-Id"}
 
 // Exchange records one request and its response.
-func (s *Session) Exchange(who, method, path, body string, header map[string]string, r Reply) {
-	fmt.Fprintf(&s.out, "\n%s> %s %s\n", who, method, path)
+func (s *Session) Exchange(participant, method, path, body string, header map[string]string, r Reply) {
+	fmt.Fprintf(&s.out, "\n%s> %s %s\n", participant, method, path)
 	for _, name := range recordedHeaders {
 		if v := header[name]; v != "" {
-			fmt.Fprintf(&s.out, "%s> %s: %s\n", who, name, v)
+			fmt.Fprintf(&s.out, "%s> %s: %s\n", participant, name, v)
 		}
 	}
-	s.lines(who+"> ", body)
-	fmt.Fprintf(&s.out, "%s< %d\n", who, r.Status)
+	s.writeLines(participant+"> ", body)
+	fmt.Fprintf(&s.out, "%s< %d\n", participant, r.Status)
 	for _, name := range recordedHeaders {
 		if v := r.Header.Get(name); v != "" {
-			fmt.Fprintf(&s.out, "%s< %s: %s\n", who, name, v)
+			fmt.Fprintf(&s.out, "%s< %s: %s\n", participant, name, v)
 		}
 	}
-	s.lines(who+"< ", r.Body)
+	s.writeLines(participant+"< ", r.Body)
 }
 
-func (s *Session) lines(prefix, text string) {
+func (s *Session) writeLines(prefix, text string) {
 	for _, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		if line != "" || strings.Contains(text, "\n\n") {
 			fmt.Fprintf(&s.out, "%s%s\n", prefix, line)
--- a/rwhtest/session_test.go
+++ b/rwhtest/session_test.go
@@ -27,11 +27,11 @@
 	goldie.New(t, goldie.WithFixtureDir("testdata"), goldie.WithNameSuffix(".txt")).Assert(t, t.Name(), s.Golden())
 }
 
-func call(t *testing.T, d *rwhtest.Deployment, s *rwhtest.Session, who, address, method, path, body string, header map[string]string) rwhtest.Reply {
+func call(t *testing.T, d *rwhtest.Deployment, s *rwhtest.Session, participant, address, method, path, body string, header map[string]string) rwhtest.Reply {
 	t.Helper()
 	r, err := d.Call(t.Context(), method, address, path, body, header)
 	require.NoError(t, err)
-	s.Exchange(who, method, path, body, header, r)
+	s.Exchange(participant, method, path, body, header, r)
 	return r
 }
 
@@ -78,26 +78,26 @@
 	golden(t, s)
 }
 
-// operatorCall submits as an operator does and writes the session down.
-func operatorCall(t *testing.T, d *rwhtest.Deployment, s *rwhtest.Session, who string, controller int, sub operator.Submission, manifest string) {
+// operatorCall submits a manifest and records the request and its response in the session.
+func operatorCall(t *testing.T, d *rwhtest.Deployment, s *rwhtest.Session, participant string, controller int, sub operator.Submission, manifest string) {
 	t.Helper()
 	accepted, err := d.Operator(controller).SubmitManifest(t.Context(), sub, []byte(manifest))
 	var reply rwhtest.Reply
-	var answer any = accepted
+	var response any = accepted
 	reply.Status = http.StatusOK
 	if err != nil {
 		var refused *operator.RefusedError
 		require.ErrorAs(t, err, &refused)
-		answer = refused.Refusal
+		response = refused.Refusal
 		info, _ := refused.Code.Info()
 		reply.Status = info.HTTPStatus
 	}
-	data, err := json.MarshalIndent(answer, "", "  ")
+	data, err := json.MarshalIndent(response, "", "  ")
 	require.NoError(t, err)
 	reply.Body = string(data)
 	request, err := json.Marshal(sub)
 	require.NoError(t, err)
-	s.Exchange(who, http.MethodPut, "/v1/manifest", string(request)+" with manifest:\n"+manifest, nil, reply)
+	s.Exchange(participant, http.MethodPut, "/v1/manifest", string(request)+" with manifest:\n"+manifest, nil, reply)
 }
 
 func TestSessionRefusedManifest(t *testing.T) {
--- a/rwhtest/start.go
+++ b/rwhtest/start.go
@@ -34,7 +34,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid%120, 1+(pid/120+n/250)%250, 1+n%250)
 }
 
-// First ports of each kind of listener; a deployment has an address of its own.
+// First port of each kind of listener, the same in every deployment: each has its own
+// address.
 const (
 	portPlatform       = 7000
 	portCaller         = 7100
@@ -132,7 +133,7 @@
 	}.WithDefaults())
 	require.NoError(d.t, err)
 	d.Controllers = append(d.Controllers, controller)
-	d.operators = append(d.operators, operatorAddress)
+	d.operatorAddresses = append(d.operatorAddresses, operatorAddress)
 	d.group.Go("rwhtest.controller", controller.Run)
 }
 
@@ -147,7 +148,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	d.Routers = append(d.Routers, router)
-	d.callers = append(d.callers, callerAddress)
+	d.callerAddresses = append(d.callerAddresses, callerAddress)
 	d.stopRouter = append(d.stopRouter, cancel)
 	d.routerEnded = append(d.routerEnded, ended)
 	d.group.Go("rwhtest.router", func(context.Context) error {
@@ -158,11 +159,11 @@
 }
 
 func (d *Deployment) allResponding() bool {
-	for i := range d.callers {
+	for i := range d.callerAddresses {
 		if _, err := d.Operator(i).Status(d.t.Context()); err != nil {
 			return false
 		}
-		if _, err := d.Call(d.t.Context(), http.MethodGet, d.callers[i], "/healthz", "", nil); err != nil {
+		if _, err := d.Call(d.t.Context(), http.MethodGet, d.callerAddresses[i], "/healthz", "", nil); err != nil {
 			return false
 		}
 	}
