--- a/cmd/node/main.go
+++ b/cmd/node/main.go
@@ -1,5 +1,6 @@
-// Command node is the only process of this project that runs on an entry VM of
-// the users' platform.
+// Command node serves callers on an entry VM of the users' platform, and forms the
+// groups of its availability zone while it holds the zone's lease. It is the only
+// process of this project on that VM.
 package main
 
 import (
@@ -12,9 +13,9 @@
 )
 
 const help = `Serves callers on one entry VM of the users' platform, and forms the groups of
-its availability zone while it holds the zone's lease. The settings file
-is the platform's; set its path with --settings or in the environment
-variable ` + platform.SettingsVariable + `.
+its availability zone while it holds the zone's lease. The platform provides the
+settings file; set its path with --settings or in the environment variable
+` + platform.SettingsVariable + `.
 
 Examples:
   node
