--- a/cmd/rwhctl/client.go
+++ b/cmd/rwhctl/client.go
@@ -50,8 +50,7 @@
 	return errors.Join(errRefused, encoder.Encode(refused.Refusal))
 }
 
-// localRefusal builds a refusal from an error that came without a controller's
-// refusal.
+// localRefusal builds a refusal for an error that contains none from a controller.
 func localRefusal(err error) operator.Refusal {
 	code := redwinghall.KindOf[redwinghall.Code](err)
 	info, ok := code.Info()
--- a/cmd/rwhctl/main.go
+++ b/cmd/rwhctl/main.go
@@ -1,5 +1,6 @@
 // Command rwhctl lets build pipelines and operators submit manifests, take
-// availability zones out of service or back, and read the state.
+// availability zones out of service or back into service, and read the state of
+// the deployment.
 package main
 
 import (
@@ -13,7 +14,8 @@
 	"redwinghall/daemon"
 )
 
-const help = `Submits manifests, decides on availability zones, reads the state, explains codes.
+const help = `Submits manifests, takes availability zones out of service or back into service,
+reads the state of the deployment, and explains codes.
 Results are JSON on standard output. Refusals are JSON on standard error.
 
 Examples:
@@ -25,11 +27,11 @@
 
 Exit codes: 0 done, 1 refused or failed, 2 wrong usage.`
 
-// options are the global options; those for the connection apply to every
-// subcommand that sends requests to a controller.
+// options are the global options. Controller and TokenFile apply to the subcommands
+// that send requests to a controller.
 type options struct {
 	Controller string `long:"controller" env:"RWH_CONTROLLER" description:"IP:PORT of a controller's operator listener" value-name:"ADDRESS"`
-	TokenFile  string `long:"token-file" description:"file that holds the operator token (default: the variable RWH_OPERATOR_TOKEN)" value-name:"FILE"`
+	TokenFile  string `long:"token-file" description:"file that holds the operator token (default: the token in the environment variable RWH_OPERATOR_TOKEN)" value-name:"FILE"`
 	Version    func() `long:"version" description:"print the version and stop"`
 }
 
@@ -88,8 +90,8 @@
 	return errors.Join(
 		add("check", "check a manifest without a controller", checkHelp, &checkCommand{app: a}),
 		add("submit", "submit a manifest", submitHelp, &submitCommand{app: a}),
-		add("status", "read the state", statusHelp, &statusCommand{app: a}),
-		add("zone", "take an availability zone out of service or back", zoneHelp, &zoneCommand{app: a}),
+		add("status", "print the state of the deployment", statusHelp, &statusCommand{app: a}),
+		add("zone", "take an availability zone out of service or back into service", zoneHelp, &zoneCommand{app: a}),
 		add("explain", "explain a code", explainHelp, &explainCommand{app: a}),
 	)
 }
--- a/cmd/rwhctl/status.go
+++ b/cmd/rwhctl/status.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-const statusHelp = `Prints the state as one controller knows it: the generation in force, the availability
-zones, the groups of its zone, and since when the platform has not answered.
+const statusHelp = `Prints the state that one controller reports: the generation in force, the availability
+zones, the groups of its zone, and, if it cannot reach the platform, since when.
 
 Example:
   rwhctl status --controller 127.0.0.1:8101`
--- a/cmd/rwhctl/submit.go
+++ b/cmd/rwhctl/submit.go
@@ -5,8 +5,9 @@
 	"os"
 )
 
-const submitHelp = `Submits a manifest. --replaces is the generation that it replaces, as 'rwhctl status'
-shows it; 0 for the first. If another manifest was accepted in the meantime, this one is refused.
+const submitHelp = `Submits a manifest. --replaces is the generation that it replaces, as shown by
+'rwhctl status', or 0 for the first manifest. If another manifest was accepted in the
+meantime, this one is refused.
 
 Examples:
   rwhctl submit --replaces 0 manifest.json
@@ -14,8 +15,8 @@
 
 type submitCommand struct {
 	app      *app
-	Replaces uint64 `long:"replaces" required:"yes" description:"the generation that this manifest replaces" value-name:"N"`
-	SubmitID string `long:"submit-id" description:"a name for this submission; the same name is accepted at most once" value-name:"ID"`
+	Replaces uint64 `long:"replaces" required:"yes" description:"generation that this manifest replaces" value-name:"N"`
+	SubmitID string `long:"submit-id" description:"ID of this submission; retries with the same ID take effect at most once (default: a random one)" value-name:"ID"`
 	Args     struct {
 		File string `positional-arg-name:"FILE"`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/rwhctl/zone.go
+++ b/cmd/rwhctl/zone.go
@@ -7,7 +7,8 @@
 )
 
 const zoneHelp = `Takes an availability zone out of service, or back into service. Requests in progress
-finish. The command reads the state first; if another operator decides in between, it is refused.
+finish. Without --replaces the command reads the zone's current decision first; it is
+refused if another operator decides on the zone in between.
 
 Examples:
   rwhctl zone out tartu
@@ -15,8 +16,8 @@
 
 type zoneCommand struct {
 	app      *app
-	SubmitID string  `long:"submit-id" description:"a name for this decision; the same name is accepted at most once" value-name:"ID"`
-	Replaces *uint64 `long:"replaces" description:"the zone's number that this decision replaces (default: the present one)" value-name:"N"`
+	SubmitID string  `long:"submit-id" description:"ID of this decision; retries with the same ID take effect at most once (default: a random one)" value-name:"ID"`
+	Replaces *uint64 `long:"replaces" description:"number of the zone's decision that this one replaces (default: the current one)" value-name:"N"`
 	Args     struct {
 		State string `positional-arg-name:"out|in"`
 		Zone  string `positional-arg-name:"ZONE"`
