--- a/soak/limits.go
+++ b/soak/limits.go
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// checkLimit checks the rate of requests only from limitPropagation after the last fault
-// of a node: a node that has just started or resumed may not have received the limit yet.
+// checkLimit checks the rate of requests from limitPropagation after the limit was set and
+// after the last fault of a node: a node that has just started or resumed may not have received the limit yet.
 func (d *deployment) checkLimit(e *linkedEndpoint, perSecond float64, limitSetAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/soak/run.go
+++ b/soak/run.go
@@ -43,7 +43,7 @@
 	}
 	defer d.stop()
 	if !d.waitServing(ctx) {
-		report.Violations = append(report.Violations, "no node served before the first fault")
+		report.Violations = append(report.Violations, "not every node served a stream before the first fault")
 		return report, nil
 	}
 	runPlan := d.runFaults
