--- a/soak/limits.go
+++ b/soak/limits.go
@@ -37,7 +37,8 @@
 }
 
 // checkLimit checks the rate of requests from limitPropagation after the limit was set and
-// after the last fault of a node: a node that has just started or resumed may not have received the limit yet.
+// after the last fault of a node: a node that has just started or resumed may not have
+// received the limit yet.
 func (d *deployment) checkLimit(e *linkedEndpoint, perSecond float64, limitSetAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
